--- a/Makefile
+++ b/Makefile
@@ -7,6 +7,7 @@
 	$(VENV)/bin/python -m pathturn demo
 
 test: $(VENV)/ready
+	$(VENV)/bin/ruff format --check .
 	$(VENV)/bin/ruff check .
 	$(VENV)/bin/python -m pytest
 
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -31,7 +31,8 @@
     figures = importlib.import_module(f"benchmarks.{told.name}").run(
         told.quick,
         lambda text: print(f"{time.monotonic() - began:6.1f} s  {text}", file=sys.stderr),
-        **options)
+        **options,
+    )
     print(json.dumps(figures | {"took_s": round(time.monotonic() - began, 1)}))
 
 
--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -47,28 +47,36 @@
 def guard(quick: bool) -> dict[str, Any]:
     chance, days, span = Random(1), (1_000, 180) if quick else (4_000, 2_000), 30 if quick else 60
     harmless = [(seed, traffic.harmless(chance, span), traffic.RATE, span) for seed in range(days[0])]
-    harmful = [(10**6 + seed, traffic.harmful(chance, span, False), traffic.GROUP_RATE, span)
-               for seed in range(days[1])]
-    crashed = [(10**7 + seed, traffic.harmful(chance, span, True), traffic.GROUP_RATE, span)
-               for seed in range(days[1] // 3)]
-    thin = [(10**8 + seed, traffic.harmful(chance, span, False), traffic.RATE, span)
-            for seed in range(days[1] // 3)]
+    harmful = [
+        (10**6 + seed, traffic.harmful(chance, span, False), traffic.GROUP_RATE, span)
+        for seed in range(days[1])
+    ]
+    crashed = [
+        (10**7 + seed, traffic.harmful(chance, span, True), traffic.GROUP_RATE, span)
+        for seed in range(days[1] // 3)
+    ]
+    thin = [
+        (10**8 + seed, traffic.harmful(chance, span, False), traffic.RATE, span)
+        for seed in range(days[1] // 3)
+    ]
     with ProcessPoolExecutor(max(1, (os.cpu_count() or 1) - SPARE)) as pool:
         calm = list(pool.map(watch, harmless, chunksize=8))
         found = list(pool.map(watch, harmful, chunksize=4))
         shaken = list(pool.map(watch, crashed, chunksize=4))
         seldom = list(pool.map(watch, thin, chunksize=4))
-    return {"false_undo_share": _share(ours is not None for ours, _ in calm),
-            "false_undo_share_plain": _share(plain is not None for _, plain in calm),
-            "harm_found_share": _share(ours is not None for ours, _ in found),
-            "harm_found_share_plain": _share(plain is not None for _, plain in found),
-            "harm_found_s_p50": _quantile([ours for ours, _ in found], 0.5),
-            "harm_found_s_p95": _quantile([ours for ours, _ in found], 0.95),
-            "harm_found_s_p95_plain": _quantile([plain for _, plain in found], 0.95),
-            "harm_found_share_with_crash": _share(ours is not None for ours, _ in shaken),
-            "harm_found_s_p95_with_crash": _quantile([ours for ours, _ in shaken], 0.95),
-            "harm_found_share_60_in_all": _share(ours is not None for ours, _ in seldom),
-            "harm_found_s_p95_60_in_all": _quantile([ours for ours, _ in seldom], 0.95)}
+    return {
+        "false_undo_share": _share(ours is not None for ours, _ in calm),
+        "false_undo_share_plain": _share(plain is not None for _, plain in calm),
+        "harm_found_share": _share(ours is not None for ours, _ in found),
+        "harm_found_share_plain": _share(plain is not None for _, plain in found),
+        "harm_found_s_p50": _quantile([ours for ours, _ in found], 0.5),
+        "harm_found_s_p95": _quantile([ours for ours, _ in found], 0.95),
+        "harm_found_s_p95_plain": _quantile([plain for _, plain in found], 0.95),
+        "harm_found_share_with_crash": _share(ours is not None for ours, _ in shaken),
+        "harm_found_s_p95_with_crash": _quantile([ours for ours, _ in shaken], 0.95),
+        "harm_found_share_60_in_all": _share(ours is not None for ours, _ in seldom),
+        "harm_found_s_p95_60_in_all": _quantile([ours for ours, _ in seldom], 0.95),
+    }
 
 
 def watch(case: tuple[int, traffic.Day, float, int]) -> tuple[float | None, float | None]:
@@ -153,16 +161,26 @@
     watched = states.widen(canary, 7)
     second = Change("b", 2, 3, "w", "y", "staged", POLICY, 9)
     tried = states.begin(second, 10)
-    return [lambda: book.first(document), lambda: book.staged(first, document), lambda: book.moved(canary),
-            lambda: book.moved(watched), lambda: book.moved(states.keep(watched, 8, "", ())),
-            lambda: book.staged(second, document), lambda: book.moved(tried),
-            lambda: book.moved(states.undo(tried, 11, "harm"))]
+    return [
+        lambda: book.first(document),
+        lambda: book.staged(first, document),
+        lambda: book.moved(canary),
+        lambda: book.moved(watched),
+        lambda: book.moved(states.keep(watched, 8, "", ())),
+        lambda: book.staged(second, document),
+        lambda: book.moved(tried),
+        lambda: book.moved(states.undo(tried, 11, "harm")),
+    ]
 
 
 def _state(book: Ledger) -> dict[str, Any]:
     left = book.open_change()
-    return {"present": book.present(), "open": left and (left.id, left.state),
-            "changes": [(each.id, each.state) for each in book.history()], "generations": book.generations()}
+    return {
+        "present": book.present(),
+        "open": left and (left.id, left.state),
+        "changes": [(each.id, each.state) for each in book.history()],
+        "generations": book.generations(),
+    }
 
 
 def _whole(path: Path, legal: list[dict[str, Any]]) -> bool:
@@ -174,8 +192,12 @@
         after = _state(book)
         number = after["present"]
         readable = not number or book.document(number) is not None
-        return (before in [*legal, {"present": 0, "open": None, "changes": [], "generations": []}]
-                and after["open"] is None and after["present"] == before["present"] and readable)
+        return (
+            before in [*legal, {"present": 0, "open": None, "changes": [], "generations": []}]
+            and after["open"] is None
+            and after["present"] == before["present"]
+            and readable
+        )
     finally:
         book.close()
 
@@ -185,11 +207,18 @@
     chance, made = Random(seed), []
     for at in range(number):
         sort = at % 4
-        made.append(Route(f"r{at}", "all", Match(
-            groups=(chance.choice(("look", "pay", "load")),) if sort != 3 else None,
-            customers=(f"farm{at}",) if sort in (0, 3) else None,
-            key_prefixes=(f"k{at:06d}",) if sort == 1 else None,
-            data_sets=((10 * at, 10 * at + 6),) if sort in (2, 3) else None)))
+        made.append(
+            Route(
+                f"r{at}",
+                "all",
+                Match(
+                    groups=(chance.choice(("look", "pay", "load")),) if sort != 3 else None,
+                    customers=(f"farm{at}",) if sort in (0, 3) else None,
+                    key_prefixes=(f"k{at:06d}",) if sort == 1 else None,
+                    data_sets=((10 * at, 10 * at + 6),) if sort in (2, 3) else None,
+                ),
+            )
+        )
     return Document(1, {"all": Pool()}, "all", tuple(made))
 
 
@@ -205,8 +234,12 @@
     through(index.build(boxes(document)))
     if [index.first(*each) for each in asked] != expected:
         raise AssertionError("the index and the scan differ")
-    return {"lookup_us_10k": round(per[10_000], 2), "lookup_us_scan_10k": round(linear, 1),
-            "lookup_speedup": round(linear / per[10_000]), "lookup_growth": round(per[10_000] / per[100], 2)}
+    return {
+        "lookup_us_10k": round(per[10_000], 2),
+        "lookup_us_scan_10k": round(linear, 1),
+        "lookup_speedup": round(linear / per[10_000]),
+        "lookup_growth": round(per[10_000] / per[100], 2),
+    }
 
 
 def _lookup_us(number: int, times: int) -> float:
@@ -224,24 +257,38 @@
 
 def _asked(number: int, times: int) -> list[tuple]:
     chance = Random(4)
-    return [(chance.choice(("look", "pay", "load")), f"farm{chance.randrange(number)}",
-             f"k{chance.randrange(number):06d}-7", chance.randrange(10 * number)) for _ in range(times)]
+    return [
+        (
+            chance.choice(("look", "pay", "load")),
+            f"farm{chance.randrange(number)}",
+            f"k{chance.randrange(number):06d}-7",
+            chance.randrange(10 * number),
+        )
+        for _ in range(times)
+    ]
 
 
 def scan(plain: list, group: str, customer: str | None, key: str | None, data_set: int) -> int | None:
     """The plain way: the first that fits, each looked at in turn."""
     for box in plain:
-        if ((box.groups is None or group in box.groups) and (box.customers is None or customer in
-        box.customers) and (box.prefixes is None or any((key or "").startswith(each) for each in
-        box.prefixes)) and (box.ranges is None or any(low <= data_set <= high for low, high in box.ranges))):
+        if (
+            (box.groups is None or group in box.groups)
+            and (box.customers is None or customer in box.customers)
+            and (box.prefixes is None or any((key or "").startswith(each) for each in box.prefixes))
+            and (box.ranges is None or any(low <= data_set <= high for low, high in box.ranges))
+        ):
             return box.number
     return None
 
 
 # A gateway between stand-ins, in a process of its own: its loop is what is measured.
 def wire(quick: bool, module: str = "benchmarks.change_wire") -> subprocess.Popen:
-    return subprocess.Popen([sys.executable, "-m", module, "quick" if quick else "full"],
-                            stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
+    return subprocess.Popen(
+        [sys.executable, "-m", module, "quick" if quick else "full"],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
 
 
 def wired(running: subprocess.Popen) -> dict[str, Any]:
@@ -258,17 +305,25 @@
         old = Path(folder) / "before"
         old.mkdir()
         packed = subprocess.run(["git", "-C", str(root), "archive", BEFORE], capture_output=True, check=False)
-        known = packed.returncode == 0 and subprocess.run(
-            ["tar", "-x", "-C", str(old)], input=packed.stdout, check=False).returncode == 0
+        known = (
+            packed.returncode == 0
+            and subprocess.run(["tar", "-x", "-C", str(old)], input=packed.stdout, check=False).returncode
+            == 0
+        )
         now = [start(root, Path(folder), False) for _ in range(times)]
         then = [start(old, Path(folder), False) for _ in range(times)] if known else []
         full = [start(root, Path(folder), True) for _ in range(times)]
-    figures = {"plain_serve_rss_mb": min(row[0] for row in now), "start_s": min(row[1] for row in now),
-               "operator_serve_rss_mb": min(row[0] for row in full),
-               "operator_start_s": min(row[1] for row in full)}
+    figures = {
+        "plain_serve_rss_mb": min(row[0] for row in now),
+        "start_s": min(row[1] for row in now),
+        "operator_serve_rss_mb": min(row[0] for row in full),
+        "operator_start_s": min(row[1] for row in full),
+    }
     if then:
-        figures |= {"plain_serve_rss_mb_before": min(row[0] for row in then),
-                    "start_s_before": min(row[1] for row in then)}
+        figures |= {
+            "plain_serve_rss_mb_before": min(row[0] for row in then),
+            "start_s_before": min(row[1] for row in then),
+        }
     return figures
 
 
@@ -286,8 +341,12 @@
         installed(folder, {"version": 1, "pools": {"all": {}}, "default": "all"})
         extra = ["--operator", str(folder / "operator.json")]
     began = time.perf_counter()
-    running = subprocess.Popen([sys.executable, "-m", "pathturn", "serve", str(config), *extra], cwd=root,
-                               stderr=subprocess.PIPE, text=True)
+    running = subprocess.Popen(
+        [sys.executable, "-m", "pathturn", "serve", str(config), *extra],
+        cwd=root,
+        stderr=subprocess.PIPE,
+        text=True,
+    )
     try:
         for line in running.stderr:
             if line.rstrip().endswith("ready"):
--- a/benchmarks/change_wire.py
+++ b/benchmarks/change_wire.py
@@ -24,11 +24,17 @@
 
 RATE, GRACE_S = 60.0, 2.0
 POOLS = {"good": {"ids": "n*"}, "bad": {"ids": "worn"}, "all": {}}
-DOCUMENT = {"version": 1, "pools": POOLS, "default": "good",
-            "routes": [{"name": "a", "match": {"groups": ["load"], "key_prefixes": ["k"]}, "to": "good"},
-                       {"name": "b", "match": {"groups": ["look"], "data_sets": [[1, 5]]}, "to": "good"},
-                       {"name": "c", "match": {"groups": ["pay"]}, "to": "good"}],
-            "change": {"watch": "8s", "canary": [{"share": "50%", "hold": "2s"}]}}
+DOCUMENT = {
+    "version": 1,
+    "pools": POOLS,
+    "default": "good",
+    "routes": [
+        {"name": "a", "match": {"groups": ["load"], "key_prefixes": ["k"]}, "to": "good"},
+        {"name": "b", "match": {"groups": ["look"], "data_sets": [[1, 5]]}, "to": "good"},
+        {"name": "c", "match": {"groups": ["pay"]}, "to": "good"},
+    ],
+    "change": {"watch": "8s", "canary": [{"share": "50%", "hold": "2s"}]},
+}
 
 
 class Beat:
@@ -64,8 +70,10 @@
         farm.engine(f"n{at}", "runs:25")
     farm.engine("worn", *["reset", "error", "runs:30", "reset", "error"] * 200, "error")
     with TemporaryDirectory() as folder:
-        gateway = GatewayProcess(farm.configuration("{}:{}".format(*(address := spare_address()))),
-                                 installed(Path(folder), DOCUMENT))
+        gateway = GatewayProcess(
+            farm.configuration("{}:{}".format(*(address := spare_address()))),
+            installed(Path(folder), DOCUMENT),
+        )
         gateway.log.quiet = True
         gateway.server.start()
         gevent.spawn(gateway.run)
@@ -115,10 +123,13 @@
     through(checking(document, gateway.operator.facts()))
     through(Router().compile(Table(9, document, gateway.facade.groups)))
     gevent.sleep(0.05)
-    return {"longest_stall_ms": max(min(gap) for gap, _ in runs),
-            "longest_gap_ms": max(gap[0] for gap, _ in runs),
-            "longest_slice_ms": round(gateway.operator.scheduler.longest_us / 1000, 2),
-            "longest_stall_ms_in_one_go": beat.taken()[0], "staged_10k_s": round(runs[0][1], 2)}
+    return {
+        "longest_stall_ms": max(min(gap) for gap, _ in runs),
+        "longest_gap_ms": max(gap[0] for gap, _ in runs),
+        "longest_slice_ms": round(gateway.operator.scheduler.longest_us / 1000, 2),
+        "longest_stall_ms_in_one_go": beat.taken()[0],
+        "staged_10k_s": round(runs[0][1], 2),
+    }
 
 
 def _raw(seed: int) -> dict[str, Any]:
@@ -132,8 +143,14 @@
     """The longest gap from the control socket's call until the document is kept, and how long staging
     took."""
     raw, name, base = _raw(seed), f"large{seed}", gateway.operator.conductor.router.present.generation
-    line = orjson.dumps({"jsonrpc": "2.0", "id": 1, "method": "change.stage", "params": {
-        "id": name, "base": base, "who": "bench", "why": "size", "document": raw}})
+    line = orjson.dumps(
+        {
+            "jsonrpc": "2.0",
+            "id": 1,
+            "method": "change.stage",
+            "params": {"id": name, "base": base, "who": "bench", "why": "size", "document": raw},
+        }
+    )
     del raw
     gevent.sleep(0.1)  # what was made ready just now is no stall of the gateway's
     beat.taken()
@@ -152,12 +169,19 @@
 
 
 def counted(crowd: Crowd, farm: Farm) -> dict[str, Any]:
-    seen = judged((row for engine in farm.engines.values() for row in engine.begun),
-                  (nonce for caller in crowd.callers for nonce in caller.returned))
+    seen = judged(
+        (row for engine in farm.engines.values() for row in engine.begun),
+        (nonce for caller in crowd.callers for nonce in caller.returned),
+    )
     late = sum(at > farm.drained_at + GRACE_S for at in farm.engines["n4"].posted)
-    return {"batches": sum(crowd.sent.values()), "lost": crowd.missing() + seen["never_begun"],
-            "doubled": crowd.doubled_answers() + seen["doubled"], "out_of_order": seen["out_of_order"],
-            "late_after_drain": late, "dropped_repeats": seen["repeats"] - seen["doubled"]}
+    return {
+        "batches": sum(crowd.sent.values()),
+        "lost": crowd.missing() + seen["never_begun"],
+        "doubled": crowd.doubled_answers() + seen["doubled"],
+        "out_of_order": seen["out_of_order"],
+        "late_after_drain": late,
+        "dropped_repeats": seen["repeats"] - seen["doubled"],
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -74,11 +74,28 @@
 
 
 def configuration(engines: int, names: str, listen: tuple[str, int]) -> dict[str, Any]:
-    servers = [{"id": f"e{each:07x}", "addr": f"127.1.{each >> 8}.{each & 255}:9", "zone": "z", "kind": "m",
-                "cell": 0, "state": "in_service", "weight": 1, "started_ms": 0} for each in range(engines)]
-    return {"name": "n0", "listen": "{}:{}".format(*listen), "seed": "0f", "settings": settings(),
-            "limits": {"sockets": 256, "memory_mb": 32, "cores": 1.0}, "names": names,
-            "known": {"index": 1, "updates": [{"endpoints": {"full": True, "servers": servers}}]}}
+    servers = [
+        {
+            "id": f"e{each:07x}",
+            "addr": f"127.1.{each >> 8}.{each & 255}:9",
+            "zone": "z",
+            "kind": "m",
+            "cell": 0,
+            "state": "in_service",
+            "weight": 1,
+            "started_ms": 0,
+        }
+        for each in range(engines)
+    ]
+    return {
+        "name": "n0",
+        "listen": "{}:{}".format(*listen),
+        "seed": "0f",
+        "settings": settings(),
+        "limits": {"sockets": 256, "memory_mb": 32, "cores": 1.0},
+        "names": names,
+        "known": {"index": 1, "updates": [{"endpoints": {"full": True, "servers": servers}}]},
+    }
 
 
 class Running:
@@ -88,9 +105,12 @@
         listen, config = spare_address(), folder / "config.json"
         config.write_bytes(orjson.dumps(configuration(engines, names, listen)))
         began = perf_counter()
-        self.process = subprocess.Popen([sys.executable, "-m", "pathturn", "serve"], cwd=ROOT,
-                                        env=os.environ | {"EDGE_CONFIG": str(config)},
-                                        stderr=subprocess.DEVNULL)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "pathturn", "serve"],
+            cwd=ROOT,
+            env=os.environ | {"EDGE_CONFIG": str(config)},
+            stderr=subprocess.DEVNULL,
+        )
         if not wait_until_healthy(listen, READY_S, lambda: self.process.poll() is None):
             raise RuntimeError(f"the gateway was not ready within {READY_S:.0f} s")
         self.ready_ms = (perf_counter() - began) * 1000
@@ -113,8 +133,10 @@
         cpu, woken, began = self.cpu_ms(), self.wakeups(), monotonic()
         gevent.sleep(IDLE_S)
         took = monotonic() - began
-        return {"cpu_ms_per_s": round((self.cpu_ms() - cpu) / took, 1),
-                "wakeups_per_s": round((self.wakeups() - woken) / took, 1)}
+        return {
+            "cpu_ms_per_s": round((self.cpu_ms() - cpu) / took, 1),
+            "wakeups_per_s": round((self.wakeups() - woken) / took, 1),
+        }
 
     def stop(self) -> None:
         self.process.kill()
@@ -146,8 +168,10 @@
                     figures |= {f"idle_{key}_{listed}_listed": value for key, value in running.idle().items()}
         figures[f"start_ms_{name}"] = round(median(ready))
         told.server.stop(0)
-    return figures | {"idle_cpu_ms_per_s": figures[f"idle_cpu_ms_per_s_{FEW}_listed"],
-                      "idle_wakeups_per_s": figures[f"idle_wakeups_per_s_{FEW}_listed"]}
+    return figures | {
+        "idle_cpu_ms_per_s": figures[f"idle_cpu_ms_per_s_{FEW}_listed"],
+        "idle_wakeups_per_s": figures[f"idle_wakeups_per_s_{FEW}_listed"],
+    }
 
 
 def churn() -> dict[str, Any]:
@@ -183,11 +207,15 @@
     unchanged = us(lambda: packet[2:] == raw, 1000)  # what `Lookup` does first
     _, rows = directory.answer(packet, 1, 8)
     _, known = directory.known(configuration(MOST, "", ("", 0))["known"])
-    return {"list_unchanged_us": round(unchanged, 1), "list_same_event_us": round(same),
-            "list_full_parse_us": round(full),
-            "list_dns_library_us": round(us(lambda: DNSRecord.parse(packet), 1)),
-            "engines_listed": len(known), "engines_in_one_answer": len(rows),
-            "largest_answer_bytes": len(packet)}
+    return {
+        "list_unchanged_us": round(unchanged, 1),
+        "list_same_event_us": round(same),
+        "list_full_parse_us": round(full),
+        "list_dns_library_us": round(us(lambda: DNSRecord.parse(packet), 1)),
+        "engines_listed": len(known),
+        "engines_in_one_answer": len(rows),
+        "largest_answer_bytes": len(packet),
+    }
 
 
 def run(quick: bool, say: Callable[[str], None]) -> dict[str, Any]:
--- a/benchmarks/fleet_wire.py
+++ b/benchmarks/fleet_wire.py
@@ -50,8 +50,11 @@
     ends = sum(crowd.ends().values(), start=type(crowd.sent)())
     crowd.close()
     farm.stop()
-    return figures | {"returned": ends["returned"], "pushed_back": ends["pushed_back"],
-                      "errored": ends["errored"]}
+    return figures | {
+        "returned": ends["returned"],
+        "pushed_back": ends["pushed_back"],
+        "errored": ends["errored"],
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -50,8 +50,13 @@
 def harmful(chance: Random, span: int, crashed: bool) -> Day:
     """Effects of 5 points and more on one group; also where an engine's crash shakes both sides."""
     crash = chance.uniform(-5, 0.8 * span) if crashed else -1e9
-    return Day(chance.choice(list(GROUPS)), chance.uniform(0.05, 0.5),
-               chance.choice(("errored", "pushed_back", "given_up", "returned")), crash, 0.3)
+    return Day(
+        chance.choice(list(GROUPS)),
+        chance.uniform(0.05, 0.5),
+        chance.choice(("errored", "pushed_back", "given_up", "returned")),
+        crash,
+        0.3,
+    )
 
 
 Arrival = tuple[float, str, bool, float]
@@ -73,8 +78,9 @@
     return told.seal()
 
 
-def during(chance: Random, day: Day, share: float, rate: float,
-           span: int) -> Iterator[tuple[float, str, Ended]]:
+def during(
+    chance: Random, day: Day, share: float, rate: float, span: int
+) -> Iterator[tuple[float, str, Ended]]:
     for at, group, touched, unit in arrivals(chance, 0, CANARY_S + span, rate):
         served = touched and (at >= CANARY_S or unit < share)
         side = TOUCHED if served else BESIDE if touched else LEFT
--- a/deploy/sites/lay.py
+++ b/deploy/sites/lay.py
@@ -6,7 +6,7 @@
 and entries of a list of tables are found by their `name` (`[class.lookup]` changes the class of that name).
 The site itself, and what the bench wants beside it, come from the operators' folder GIVEN (`../given` beside
 the repository) and go to `deploy/sites/laid/VARIANT`, which git ignores. Ends with code 2 and one line where
-that folder is missing or a variant changes what its base does not have. """
+that folder is missing or a variant changes what its base does not have."""
 
 import shutil
 import sys
@@ -27,8 +27,9 @@
     if isinstance(told, list) and isinstance(change, dict):
         entries = {each["name"]: each for each in told if isinstance(each, dict) and "name" in each}
         if unknown := change.keys() - entries.keys():
-            raise Unusable(f"{where}: no entry named {', '.join(sorted(unknown))}; there are "
-                           f"{', '.join(entries)}")
+            raise Unusable(
+                f"{where}: no entry named {', '.join(sorted(unknown))}; there are {', '.join(entries)}"
+            )
         return [changed(each, change.get(each["name"], {}), f"{where}.{each['name']}") for each in told]
     if not isinstance(change, dict):
         return change
@@ -36,8 +37,10 @@
         raise Unusable(f"{where}: not a table in the base; give a value")
     if unknown := change.keys() - told.keys():
         raise Unusable(f"{where}: the base has no {', '.join(sorted(unknown))}; take it out or correct it")
-    return {name: changed(value, change[name], f"{where}.{name}") if name in change else value
-            for name, value in told.items()}
+    return {
+        name: changed(value, change[name], f"{where}.{name}") if name in change else value
+        for name, value in told.items()
+    }
 
 
 def text(value: Any) -> str:
--- a/pathturn/__main__.py
+++ b/pathturn/__main__.py
@@ -13,8 +13,12 @@
     if sys.argv[1:] == ["serve"]:
         from pathturn.process.start import serve  # as the platform starts it: all it is told is in variables
 
-        serve(*(Path(os.environ[name]) if os.environ.get(name) else None
-                for name in ("EDGE_CONFIG", "PATHTURN_OPERATOR")))
+        serve(
+            *(
+                Path(os.environ[name]) if os.environ.get(name) else None
+                for name in ("EDGE_CONFIG", "PATHTURN_OPERATOR")
+            )
+        )
     else:
         from pathturn.cli import app
 
--- a/pathturn/adapter/codec.py
+++ b/pathturn/adapter/codec.py
@@ -112,8 +112,20 @@
     # The wire's side: each takes the fields of one message, short ones padded with None.
     def ingress(self, rid, grade, account, table, left, work, memory, sources, marks) -> None:
         hinted = (marks or 0) & 1
-        self.events.append(("batch", self.take(rid), self.group_index[grade], account, table, left,
-                            (work or 0) if hinted else 0, memory or 0, sources, bool((marks or 0) & 2)))
+        self.events.append(
+            (
+                "batch",
+                self.take(rid),
+                self.group_index[grade],
+                account,
+                table,
+                left,
+                (work or 0) if hinted else 0,
+                memory or 0,
+                sources,
+                bool((marks or 0) & 2),
+            )
+        )
 
     def answer(self, rid, trial, node, rc, latency, complete, note, load) -> None:
         batch = self.batch_of.get(rid)
@@ -124,8 +136,20 @@
         outcome = OUTCOMES.get(rc, names.ERRORED)
         if rc == "connect_failed" and (latency or 0) < self.connect_timeout_us:
             outcome = names.CONNECT_REFUSED  # one name for both here; a time-out is told by its length
-        self.events.append(("answer", batch, trial, self.engine(node), outcome, latency or 0, bool(complete),
-                            (told >> 12) * 1000, (told & 4095) * 4, load))
+        self.events.append(
+            (
+                "answer",
+                batch,
+                trial,
+                self.engine(node),
+                outcome,
+                latency or 0,
+                bool(complete),
+                (told >> 12) * 1000,
+                (told & 4095) * 4,
+                load,
+            )
+        )
         self.over[batch] = self.over[batch] or bool(complete)
         self.settle(batch)
 
@@ -146,13 +170,21 @@
         self.events.append(("wake", tag))
 
     def announce(self, form, entries) -> None:
-        rows = [(self.engine(node), zone, machine, cell, state, size, started or 0)
-                for node, zone, machine, cell, state, size, started in (_pad(row, 7) for row in entries)]
+        rows = [
+            (self.engine(node), zone, machine, cell, state, size, started or 0)
+            for node, zone, machine, cell, state, size, started in (_pad(row, 7) for row in entries)
+        ]
         self.events.append(("listing", form, rows))
 
 
-EVENTS = {"INGRESS": (Front.ingress, 9), "ANSWER": (Front.answer, 8), "NOTICE": (Front.notice, 5),
-          "WITHDRAWN": (Front.withdrawn, 1), "PONG": (Front.pong, 4), "FIRED": (Front.fired, 1)}
+EVENTS = {
+    "INGRESS": (Front.ingress, 9),
+    "ANSWER": (Front.answer, 8),
+    "NOTICE": (Front.notice, 5),
+    "WITHDRAWN": (Front.withdrawn, 1),
+    "PONG": (Front.pong, 4),
+    "FIRED": (Front.fired, 1),
+}
 
 
 def _pad(row: list, width: int) -> list:
--- a/pathturn/background/choose.py
+++ b/pathturn/background/choose.py
@@ -42,6 +42,7 @@
 
 def choose(jobs: Iterable[Waiting], now_us: int, soon_us: int) -> Waiting | None:
     """The job whose next slice runs; None if there is none."""
+
     def rank(job: Waiting) -> tuple:
         near = due(job, now_us, soon_us)
         return (not near, job.deadline_us if near else 0, job.priority, job.spent_us, job.number)
--- a/pathturn/background/scheduler.py
+++ b/pathturn/background/scheduler.py
@@ -47,8 +47,9 @@
         self.allowance, self.came = Allowance(SHARE, BURST_US, clock()), Event()
         self.longest_us = self.passed = 0
 
-    def submit(self, name: str, steps: Generator[None, None, Any], priority: int = 5,
-               deadline_us: int | None = None) -> Job:
+    def submit(
+        self, name: str, steps: Generator[None, None, Any], priority: int = 5, deadline_us: int | None = None
+    ) -> Job:
         """Its `result` is there once it ended; Cancelled is raised from it where it was called off."""
         if len(self.jobs) >= MOST_JOBS:
             raise Full(f"{len(self.jobs)} jobs wait")
@@ -83,8 +84,11 @@
     def slice(self) -> bool:
         """One slice of the job that is chosen; whether one ran."""
         now = self.clock()
-        for job in [each for each in self.jobs.values()
-                    if each.waiting.deadline_us is not None and each.waiting.deadline_us <= now]:
+        for job in [
+            each
+            for each in self.jobs.values()
+            if each.waiting.deadline_us is not None and each.waiting.deadline_us <= now
+        ]:
             self.cancel(job, "deadline passed")
         chosen = choose((job.waiting for job in self.jobs.values()), now, SOON_US)
         if chosen is None:
--- a/pathturn/change/conductor.py
+++ b/pathturn/change/conductor.py
@@ -48,8 +48,15 @@
 
 
 class Conductor:
-    def __init__(self, facade: Facade, ledger: Ledger, scheduler: Scheduler, facts: Callable[[], Facts],
-                 clock: Callable[[], int], log: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        facade: Facade,
+        ledger: Ledger,
+        scheduler: Scheduler,
+        facts: Callable[[], Facts],
+        clock: Callable[[], int],
+        log: Callable[[str], None],
+    ) -> None:
         self.facade, self.ledger, self.scheduler, self.facts = facade, ledger, scheduler, facts
         self.clock, self.log = clock, log
         self.router, self.lately, self.lock = Router(), Lately(), RLock()
@@ -126,8 +133,16 @@
             if self.stopped:
                 raise Refused("stopping", "the gateway is stopping; ask the next one")
             number = self.ledger.last_generation() + 1
-            wanted = Change(request.id, request.base, number, request.who, request.why, "staged",
-                            document.change, self.clock())
+            wanted = Change(
+                request.id,
+                request.base,
+                number,
+                request.who,
+                request.why,
+                "staged",
+                document.change,
+                self.clock(),
+            )
             change = states.stage(wanted, self.router.present.generation, self.change)
             what = self._job("what", differences(self.router.present.document, document))
             change = replace(change, what=what)
@@ -142,8 +157,9 @@
         if known.generation in self.ledger.generations():
             kept = canonical(self.ledger.document(known.generation))
             if digest(kept) != digest(canonical(document)):
-                raise Refused("reused", f"change {known.id!r} is another document; "
-                                        "give this one an id of its own")
+                raise Refused(
+                    "reused", f"change {known.id!r} is another document; give this one an id of its own"
+                )
         return known
 
     def apply(self, identity: str) -> Change:
@@ -154,8 +170,9 @@
             if self.change.state != "staged":
                 return self.change
             table, present = self.table, self.router.present
-            before = self._job("before", self.lately.before(
-                lambda told: touches(present, table, told), self.clock()))
+            before = self._job(
+                "before", self.lately.before(lambda told: touches(present, table, told), self.clock())
+            )
             begun = states.begin(self.change, self.clock())
             self._write(self.ledger.moved, begun)
             self._begin(begun, before)
@@ -168,8 +185,11 @@
                 return self._undo(f"undone by {who[:LONGEST_TEXT]}: {why[:LONGEST_TEXT]}")
             known = self._known(identity)
             if known.state == "kept":
-                raise Refused("kept", f"change {identity!r} is kept; stage the generation before it, "
-                                      f"{known.base}, as a change of its own")
+                raise Refused(
+                    "kept",
+                    f"change {identity!r} is kept; stage the generation before it, "
+                    f"{known.base}, as a change of its own",
+                )
             return known
 
     def _known(self, identity: str) -> Change:
@@ -185,14 +205,18 @@
     def status(self) -> dict[str, Any]:
         trial = self.change is not None and self.change.state in ("canary", "watched")
         findings = self.guard.findings() if trial and self.guard else []
-        return {"generation": self.router.present.generation,
-                "change": None if self.change is None else shown(self.change),
-                "share": self.router.share if trial else 0.0,
-                "due_us": self._due_us() if trial else 0,
-                "findings": [finding._asdict() | {"harm": finding.harm} for finding in findings],
-                "unjudged": self.guard.unjudged() if trial and self.guard else [],
-                "pools": {name: {"engines": len(pool.members), "ready": len(pool.ready)}
-                          for name, pool in self.router.present.pools.items()}}
+        return {
+            "generation": self.router.present.generation,
+            "change": None if self.change is None else shown(self.change),
+            "share": self.router.share if trial else 0.0,
+            "due_us": self._due_us() if trial else 0,
+            "findings": [finding._asdict() | {"harm": finding.harm} for finding in findings],
+            "unjudged": self.guard.unjudged() if trial and self.guard else [],
+            "pools": {
+                name: {"engines": len(pool.members), "ready": len(pool.ready)}
+                for name, pool in self.router.present.pools.items()
+            },
+        }
 
     def _due_us(self) -> int:
         change = self.change
@@ -236,8 +260,7 @@
         unjudged = self.guard.unjudged()
         if not self.guard.groups() and alters(self.change.what):
             unjudged = ["anything that it touches"]  # none came: that is no proof of no harm
-        return Sight(None if worst is None else str(worst), tuple(unjudged),
-                     tuple(map(str, findings)))
+        return Sight(None if worst is None else str(worst), tuple(unjudged), tuple(map(str, findings)))
 
     # Steps take effect; no other place changes the tables.
     def _begin(self, change: Change, before: Before) -> None:
@@ -294,17 +317,29 @@
         return self.scheduler.submit(name, steps, URGENT).result.get()
 
     def _tell(self, change: Change) -> None:
-        self.log(f"change {change.id} code={change.state} generation={change.generation} "
-                 f"share={change.share:g}" + (f" reason={change.reason}" if change.reason else ""))
+        self.log(
+            f"change {change.id} code={change.state} generation={change.generation} "
+            f"share={change.share:g}" + (f" reason={change.reason}" if change.reason else "")
+        )
 
 
 def shown(change: Change) -> dict[str, Any]:
     """A change as answers and tables show it."""
-    return {"id": change.id, "state": change.state, "generation": change.generation, "base": change.base,
-            "who": change.who, "why": change.why, "what": list(change.what), "staged_us": change.staged_us,
-            "since_us": change.since_us,
-            "step": change.step, "share": change.share, "reason": change.reason,
-            "figures": list(change.figures)}
+    return {
+        "id": change.id,
+        "state": change.state,
+        "generation": change.generation,
+        "base": change.base,
+        "who": change.who,
+        "why": change.why,
+        "what": list(change.what),
+        "staged_us": change.staged_us,
+        "since_us": change.since_us,
+        "step": change.step,
+        "share": change.share,
+        "reason": change.reason,
+        "figures": list(change.figures),
+    }
 
 
 def _sane(request: Request) -> None:
--- a/pathturn/change/guard.py
+++ b/pathturn/change/guard.py
@@ -66,15 +66,23 @@
         return self.score / self.bound
 
     def __str__(self) -> str:
-        return (f"{self.group}: {self.metric} {self.touched:.1%}, {self.expected:.1%} without the change, "
-                f"{self.batches} batches, score {self.score:.1f} of {self.bound:.1f}")
+        return (
+            f"{self.group}: {self.metric} {self.touched:.1%}, {self.expected:.1%} without the change, "
+            f"{self.batches} batches, score {self.score:.1f} of {self.bound:.1f}"
+        )
 
 
 def badness(ended: Ended, slow_us: float) -> list[float]:
     """How badly a batch ended, 0 to 1 by metric."""
     how = ended.how
-    return [float(ended.late), float(how == "errored"), float(how == "pushed_back"), float(how == "given_up"),
-            float(how == "returned" and ended.latency_us > slow_us), 1.0 - ended.worth]
+    return [
+        float(ended.late),
+        float(how == "errored"),
+        float(how == "pushed_back"),
+        float(how == "given_up"),
+        float(how == "returned" and ended.latency_us > slow_us),
+        1.0 - ended.worth,
+    ]
 
 
 class Tally:
@@ -194,7 +202,7 @@
             for first in range(len(slots) - width + 1):
                 moved, batches = overs[first + width] - overs[first], counts[first + width] - counts[first]
                 if moved * moved > CALM * CALM * (batches * chance + 1):
-                    found.update(slots[first:first + width])
+                    found.update(slots[first : first + width])
         return found
 
 
@@ -226,8 +234,11 @@
         if (group, kind) not in self.usual:
             then = self.before.of(group, kind)
             then = then if then.batches >= LEAST_CONTROL else self.before.of(group, not kind)
-            self.usual[group, kind] = [then.share(metric) for metric in range(len(METRICS))
-                                       ] if then.batches >= LEAST_CONTROL else None
+            self.usual[group, kind] = (
+                [then.share(metric) for metric in range(len(METRICS))]
+                if then.batches >= LEAST_CONTROL
+                else None
+            )
         return self.usual[group, kind]
 
     def groups(self) -> list[str]:
@@ -237,8 +248,9 @@
 
     def findings(self) -> list[Finding]:
         groups = self.groups()
-        found = [self._compare(group, metric, len(groups))
-                 for group in groups for metric in range(len(METRICS))]
+        found = [
+            self._compare(group, metric, len(groups)) for group in groups for metric in range(len(METRICS))
+        ]
         return [each for each in found if each is not None]
 
     def harm(self) -> Finding | None:
@@ -248,8 +260,11 @@
     def unjudged(self) -> list[str]:
         """Groups of which too little came to tell."""
         groups = self.groups()
-        return [group for group in groups if self.touched[group].batches < self.policy.least
-                or self._compare(group, 0, len(groups)) is None]
+        return [
+            group
+            for group in groups
+            if self.touched[group].batches < self.policy.least or self._compare(group, 0, len(groups)) is None
+        ]
 
     def _kind(self, group: str) -> Tally:
         """What stands for the group before the change: its touched kinds, else the whole of it."""
@@ -271,12 +286,21 @@
         share = touched.share(metric)
         # What calm elsewhere takes off must not make the variance vanish with it.
         chance = max(expected * (1 - expected), plain * (1 - plain))
-        spread = (self.before.scatter(group) * (1 / touched.batches + 1 / kind.batches)
-                  + (noise + unlike**2) / chance)
+        spread = (
+            self.before.scatter(group) * (1 / touched.batches + 1 / kind.batches)
+            + (noise + unlike**2) / chance
+        )
         score = sqrt(2 * _divergence(share, against) / spread) if share > against else 0.0
         part = LATE_PART if metric == 0 else (1 - LATE_PART) / (len(METRICS) - 1)
-        return Finding(group, METRICS[metric], share, expected, touched.batches, score,
-                       bound(1 / spread, self.policy.false_alarms * part / max(1, groups)))
+        return Finding(
+            group,
+            METRICS[metric],
+            share,
+            expected,
+            touched.batches,
+            score,
+            bound(1 / spread, self.policy.false_alarms * part / max(1, groups)),
+        )
 
     def _moved(self, group: str, metric: int, touched: Tally) -> tuple[float, float, float] | None:
         """What happened meanwhile to batches left alone, its variance, and how unlike the touched may be.
@@ -285,16 +309,19 @@
         yet."""
         own, every = self.controls[group], self.controls[None]
         if every.total < LEAST_CONTROL:
-            known = any(not kind and tally.batches >= LEAST_CONTROL
-                        for (_, kind), tally in self.before.tallies.items())
+            known = any(
+                not kind and tally.batches >= LEAST_CONTROL
+                for (_, kind), tally in self.before.tallies.items()
+            )
             return None if known else (0.0, 0.0, 0.0)
         told = [self._told(every, UNLIKE, metric, touched)]
         if own.total >= max(LEAST_CONTROL, CONTROL_PART * touched.batches):
             told.append(self._told(own, UNLIKE_SAME, metric, touched))
         return max(told, key=lambda each: (each[0], -each[2]))
 
-    def _told(self, control: Control, unlike: float, metric: int, touched: Tally) -> tuple[float, float,
-    float]:
+    def _told(
+        self, control: Control, unlike: float, metric: int, touched: Tally
+    ) -> tuple[float, float, float]:
         """Each slice of time counts as the touched have batches in it, else a crash at the end of the canary,
         when most is touched, would be told from a control that saw it thinly."""
         moved = control.moved(metric) | self.controls[None].moved(metric)
@@ -303,7 +330,7 @@
         for slot, row in touched.slots.items():
             if slot not in moved or slot not in control.rows:
                 continue
-            there, bad, over = control.rows[slot][0], *control.rows[slot][1 + 2 * metric:3 + 2 * metric]
+            there, bad, over = control.rows[slot][0], *control.rows[slot][1 + 2 * metric : 3 + 2 * metric]
             share, part = (bad + overall) / (there + 1), row[0] / touched.batches
             shift += part * over / there
             noise += part * part * share * (1 - share) / there
--- a/pathturn/change/ledger.py
+++ b/pathturn/change/ledger.py
@@ -46,20 +46,25 @@
     change: Change
 
 
-FIXES = {"locked": "another process has it, and each gateway needs one of its own",
-         "unable to open": "make its folder, writable for this user",
-         "readonly": "make the file and its folder writable for this user",
-         "full": "make room on its disk"}
+FIXES = {
+    "locked": "another process has it, and each gateway needs one of its own",
+    "unable to open": "make its folder, writable for this user",
+    "readonly": "make the file and its folder writable for this user",
+    "full": "make room on its disk",
+}
 
 
 def _fix(fault: str) -> str:
-    return next((fix for word, fix in FIXES.items() if word in fault),
-                "move the file away to begin a new ledger")
+    return next(
+        (fix for word, fix in FIXES.items() if word in fault), "move the file away to begin a new ledger"
+    )
 
 
 def digest(*parts: object) -> bytes:
-    return blake2b(b"\x00".join(part if isinstance(part, bytes) else str(part).encode() for part in parts),
-                   digest_size=16).digest()
+    return blake2b(
+        b"\x00".join(part if isinstance(part, bytes) else str(part).encode() for part in parts),
+        digest_size=16,
+    ).digest()
 
 
 class Ledger:
@@ -77,16 +82,16 @@
     def _open(self) -> None:
         for pragma in ("locking_mode=EXCLUSIVE", "journal_mode=WAL", "synchronous=FULL"):
             self.base.execute("PRAGMA " + pragma)
-        version, = self.base.execute("PRAGMA user_version").fetchone()
-        kind, = self.base.execute("PRAGMA application_id").fetchone()
-        tables, = self.base.execute("SELECT count(*) FROM sqlite_master").fetchone()
+        (version,) = self.base.execute("PRAGMA user_version").fetchone()
+        (kind,) = self.base.execute("PRAGMA application_id").fetchone()
+        (tables,) = self.base.execute("SELECT count(*) FROM sqlite_master").fetchone()
         if not tables and not version:
             self._create()
         elif kind != APPLICATION:
             raise Broken(f"{self.path}: another program's file; name a new one")
         elif version != FORMAT:
             raise Broken(f"{self.path}: format {version}, not {FORMAT}; use the program that wrote it")
-        found, = self.base.execute("PRAGMA quick_check").fetchone()
+        (found,) = self.base.execute("PRAGMA quick_check").fetchone()
         if found != "ok":
             raise Broken(f"{self.path}: damaged ({found}); move it away to begin a new ledger")
 
@@ -152,8 +157,9 @@
         return [self._change(*row) for row in rows]
 
     def steps(self, identity: str) -> list[Step]:
-        rows = self.base.execute("SELECT at_us, record, sum FROM steps WHERE id = ? ORDER BY seq",
-                                 (identity,))
+        rows = self.base.execute(
+            "SELECT at_us, record, sum FROM steps WHERE id = ? ORDER BY seq", (identity,)
+        )
         return [Step(at, self._change(record, check)) for at, record, check in rows]
 
     def generations(self) -> list[int]:
@@ -209,32 +215,39 @@
         return ended
 
     def _put(self, change: Change) -> None:
-        record = msgspec.json.encode(change, enc_hook=lambda value: int(value) if isinstance(value, int)
-                                     else float(value))
+        record = msgspec.json.encode(
+            change, enc_hook=lambda value: int(value) if isinstance(value, int) else float(value)
+        )
         check = digest(record)
         self.base.execute(
             "INSERT INTO changes (id, state, record, sum) VALUES (?, ?, ?, ?) ON CONFLICT (id) DO UPDATE SET "
             "state = excluded.state, record = excluded.record, sum = excluded.sum",
-            (change.id, change.state, record, check))
-        self.base.execute("INSERT INTO steps (id, at_us, record, sum) VALUES (?, ?, ?, ?)",
-                          (change.id, change.since_us, record, check))
+            (change.id, change.state, record, check),
+        )
+        self.base.execute(
+            "INSERT INTO steps (id, at_us, record, sum) VALUES (?, ?, ?, ?)",
+            (change.id, change.since_us, record, check),
+        )
 
     def _put_document(self, number: int, data: bytes) -> None:
         self.base.execute("INSERT INTO generations VALUES (?, ?, ?)", (number, data, digest(number, data)))
 
     def _put_present(self, number: int) -> None:
-        self.base.execute("INSERT OR REPLACE INTO present VALUES (1, ?, ?)",
-                          (number, digest("present", number)))
+        self.base.execute(
+            "INSERT OR REPLACE INTO present VALUES (1, ?, ?)", (number, digest("present", number))
+        )
 
     def _prune(self) -> None:
         """Keeps the latest changes, and of the generations those that they name, the present and the
         highest."""
-        self.base.execute("DELETE FROM changes WHERE seq <= (SELECT max(seq) FROM changes) - ?",
-                          (MOST_CHANGES,))
+        self.base.execute(
+            "DELETE FROM changes WHERE seq <= (SELECT max(seq) FROM changes) - ?", (MOST_CHANGES,)
+        )
         self.base.execute("DELETE FROM steps WHERE id NOT IN (SELECT id FROM changes)")
         least = self._row("SELECT record FROM changes ORDER BY seq LIMIT 1")
         if least is not None:
             oldest = msgspec.json.decode(least[0])["base"]
             self.base.execute(
                 "DELETE FROM generations WHERE number < ? AND number NOT IN (SELECT generation FROM present)",
-                (oldest,))
+                (oldest,),
+            )
--- a/pathturn/change/states.py
+++ b/pathturn/change/states.py
@@ -67,8 +67,11 @@
     if held is not None:
         raise Refused("busy", f"change {held.id!r} of {held.who} is {held.state}; wait for it, or undo it")
     if change.base != present:
-        raise Refused("stale", f"based on generation {change.base}, but {present} is in force; look at "
-                               f"what changed, and stage it again on {present}")
+        raise Refused(
+            "stale",
+            f"based on generation {change.base}, but {present} is in force; look at "
+            f"what changed, and stage it again on {present}",
+        )
     return replace(change, state="staged", since_us=change.staged_us)
 
 
--- a/pathturn/cli/__init__.py
+++ b/pathturn/cli/__init__.py
@@ -4,8 +4,12 @@
 
 from pathturn.cli import change, config, demo, serve
 
-app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False,
-                  help="A workload manager before analytic engines.")
+app = typer.Typer(
+    add_completion=False,
+    no_args_is_help=True,
+    pretty_exceptions_enable=False,
+    help="A workload manager before analytic engines.",
+)
 serve.register(app)
 app.add_typer(config.app, name="config")
 app.add_typer(change.app, name="change")
--- a/pathturn/cli/change.py
+++ b/pathturn/cli/change.py
@@ -19,8 +19,15 @@
 File = Annotated[Path, typer.Argument(help="a document in JSON, or - for standard input")]
 Id = Annotated[str, typer.Argument(metavar="ID", help="the change's id")]
 Why = Annotated[str, typer.Option("--why", help="for the ledger")]
-Who = Annotated[str, typer.Option("--who", default_factory=getpass.getuser, show_default=False,
-                                  help="for the ledger; the user by default")]
+Who = Annotated[
+    str,
+    typer.Option(
+        "--who",
+        default_factory=getpass.getuser,
+        show_default=False,
+        help="for the ledger; the user by default",
+    ),
+]
 LOOK_S = 0.5
 ENDED = ("kept", "undone")
 
@@ -57,9 +64,11 @@
 def _line(change: dict[str, Any]) -> str:
     when = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(change["since_us"] / 1e6))
     share = f" at {change['share']:.0%}" if change["state"] == "canary" else ""
-    return (f"{when}  {change['id']}  {change['state']}{share}  {change['base']} -> {change['generation']}  "
-            f"{change['who']}: {change['why']}\n    {'; '.join(change['what'])}"
-            + (f"\n    {change['reason']}" if change["reason"] else ""))
+    return (
+        f"{when}  {change['id']}  {change['state']}{share}  {change['base']} -> {change['generation']}  "
+        f"{change['who']}: {change['why']}\n    {'; '.join(change['what'])}"
+        + (f"\n    {change['reason']}" if change["reason"] else "")
+    )
 
 
 @app.command()
@@ -71,10 +80,15 @@
 
 
 @app.command()
-def stage(file: File, control: common.Socket, why: Why, who: Who,
-          identity: Annotated[str | None, typer.Option("--id", help="asked twice, it is one change")] = None,
-          base: Annotated[int | None, typer.Option(help="the generation it is based on")] = None,
-          as_json: common.AsJson = False) -> None:
+def stage(
+    file: File,
+    control: common.Socket,
+    why: Why,
+    who: Who,
+    identity: Annotated[str | None, typer.Option("--id", help="asked twice, it is one change")] = None,
+    base: Annotated[int | None, typer.Option(help="the generation it is based on")] = None,
+    as_json: common.AsJson = False,
+) -> None:
     """Stage a document as a change; the traffic is not touched yet."""
     document = _document(file)
     with _gateway(control, as_json, str(file)) as peer:
@@ -85,9 +99,14 @@
 
 
 @app.command()
-def apply(identity: Id, control: common.Socket, wait: Annotated[
-        bool, typer.Option("--wait", help="until it is kept (exit 0) or undone (exit 1)")] = False,
-          as_json: common.AsJson = False) -> None:
+def apply(
+    identity: Id,
+    control: common.Socket,
+    wait: Annotated[
+        bool, typer.Option("--wait", help="until it is kept (exit 0) or undone (exit 1)")
+    ] = False,
+    as_json: common.AsJson = False,
+) -> None:
     """Begin a staged change's trial: canary steps, then all traffic, watched."""
     with _gateway(control, as_json) as peer:
         found = peer.call("change.apply", id=identity)
@@ -124,13 +143,19 @@
 
 def _status(found: dict[str, Any]) -> str:
     lines = [f"generation {found['generation']} in force"]
-    lines += [f"  pool {name}: {each['ready']} ready of {each['engines']}"
-              for name, each in found["pools"].items()]
+    lines += [
+        f"  pool {name}: {each['ready']} ready of {each['engines']}" for name, each in found["pools"].items()
+    ]
     if found["change"] is not None:
-        lines.append(_line(found["change"]) + f"\n    {found['share']:.0%} of the units, "
-                                              f"{found['due_us'] / 1e6:.0f} s left")
-    lines += [f"    {each['group']}: {each['metric']} {each['touched']:.1%} against {each['expected']:.1%}, "
-              f"{each['batches']} batches" + ("  HARM" if each["harm"] else "") for each in found["findings"]]
+        lines.append(
+            _line(found["change"]) + f"\n    {found['share']:.0%} of the units, "
+            f"{found['due_us'] / 1e6:.0f} s left"
+        )
+    lines += [
+        f"    {each['group']}: {each['metric']} {each['touched']:.1%} against {each['expected']:.1%}, "
+        f"{each['batches']} batches" + ("  HARM" if each["harm"] else "")
+        for each in found["findings"]
+    ]
     return "\n".join(lines)
 
 
@@ -161,22 +186,35 @@
     from rich.table import Table
 
     change = found["change"]
-    title = (f"generation {found['generation']}, no change open" if change is None else
-             f"{change['id']} {change['state']}, {found['share']:.0%}, {found['due_us'] / 1e6:.0f} s left")
+    title = (
+        f"generation {found['generation']}, no change open"
+        if change is None
+        else f"{change['id']} {change['state']}, {found['share']:.0%}, {found['due_us'] / 1e6:.0f} s left"
+    )
     table = Table("group", "metric", "touched", "without", "batches", "score", title=title)
     for each in found["findings"]:
-        table.add_row(each["group"], each["metric"], f"{each['touched']:.1%}", f"{each['expected']:.1%}",
-                      str(each["batches"]), f"{each['score']:.1f} of {each['bound']:.1f}",
-                      style="bold red" if each["harm"] else "")
+        table.add_row(
+            each["group"],
+            each["metric"],
+            f"{each['touched']:.1%}",
+            f"{each['expected']:.1%}",
+            str(each["batches"]),
+            f"{each['score']:.1f} of {each['bound']:.1f}",
+            style="bold red" if each["harm"] else "",
+        )
     return table
 
 
 @app.command()
-def history(control: common.Socket, most: Annotated[int, typer.Option(help="so many, the latest first")] = 20,
-            as_json: common.AsJson = False) -> None:
+def history(
+    control: common.Socket,
+    most: Annotated[int, typer.Option(help="so many, the latest first")] = 20,
+    as_json: common.AsJson = False,
+) -> None:
     """Show past changes: who, when, what, why, and what the guard saw."""
     with _gateway(control, as_json) as peer:
         found = peer.call("change.history", most=most)
-        text = "\n".join(_line(each) + "".join(f"\n    {figure}" for figure in each["figures"])
-                         for each in found)
+        text = "\n".join(
+            _line(each) + "".join(f"\n    {figure}" for figure in each["figures"]) for each in found
+        )
         common.show(found, as_json, text or "no change yet")
--- a/pathturn/cli/common.py
+++ b/pathturn/cli/common.py
@@ -12,8 +12,12 @@
 OK, FAULTY, USAGE, REFUSED, UNANSWERED = 0, 1, 2, 3, 4
 
 AsJson = Annotated[bool, typer.Option("--json", help="print JSON for scripts")]
-Socket = Annotated[str, typer.Option("--control", envvar="PATHTURN_CONTROL", metavar="SOCKET",
-                                     help="the gateway's control socket")]
+Socket = Annotated[
+    str,
+    typer.Option(
+        "--control", envvar="PATHTURN_CONTROL", metavar="SOCKET", help="the gateway's control socket"
+    ),
+]
 
 
 @contextmanager
--- a/pathturn/cli/config.py
+++ b/pathturn/cli/config.py
@@ -8,13 +8,22 @@
 from pathturn.cli import common
 
 app = typer.Typer(no_args_is_help=True, help="Look at an operator's document.")
-Engine = Annotated[Path | None, typer.Option("--gateway", metavar="CONFIG", help="a gateway's configuration, "
-                                             "to check against its service groups, list and limits")]
+Engine = Annotated[
+    Path | None,
+    typer.Option(
+        "--gateway",
+        metavar="CONFIG",
+        help="a gateway's configuration, to check against its service groups, list and limits",
+    ),
+]
 
 
 @app.command()
-def check(file: Annotated[Path, typer.Argument(help="a document in JSON, or - for standard input")],
-          gateway: Engine = None, as_json: common.AsJson = False) -> None:
+def check(
+    file: Annotated[Path, typer.Argument(help="a document in JSON, or - for standard input")],
+    gateway: Engine = None,
+    as_json: common.AsJson = False,
+) -> None:
     """Tell everything that is wrong with a document. Exit 0: nothing, 1: faults, 2: usage."""
     from pathturn.config.read import Unusable, parse, read
     from pathturn.routing.checks import check as look
@@ -28,8 +37,13 @@
         common.show_faults([each._asdict() for each in faults], as_json, str(file))
         raise typer.Exit(common.FAULTY)
     told = {"routes": len(document.routes), "pools": len(document.pools), "limits": len(document.limits)}
-    common.show(told, as_json, "nothing wrong: " + ", ".join(f"{n} {name}" for name, n in told.items())
-                + ("" if gateway is not None else "; names and rules need --gateway"))
+    common.show(
+        told,
+        as_json,
+        "nothing wrong: "
+        + ", ".join(f"{n} {name}" for name, n in told.items())
+        + ("" if gateway is not None else "; names and rules need --gateway"),
+    )
 
 
 def _facts(path: Path):  # noqa: ANN202 - its type is imported by the command alone
--- a/pathturn/cli/serve.py
+++ b/pathturn/cli/serve.py
@@ -13,10 +13,15 @@
 
 VERSION = "0.3.0"
 StatementFile = Annotated[typer.FileText, typer.Argument(help="a file, or - for standard input")]
-ConfigFile = Annotated[Path | None, typer.Argument(envvar="EDGE_CONFIG", help="the configuration file",
-                                                   show_default=False)]
-OperatorFile = Annotated[Path | None, typer.Option("--operator", envvar="PATHTURN_OPERATOR", metavar="FILE",
-                                                   help="routes, changes, control socket")]
+ConfigFile = Annotated[
+    Path | None, typer.Argument(envvar="EDGE_CONFIG", help="the configuration file", show_default=False)
+]
+OperatorFile = Annotated[
+    Path | None,
+    typer.Option(
+        "--operator", envvar="PATHTURN_OPERATOR", metavar="FILE", help="routes, changes, control socket"
+    ),
+]
 
 
 def register(app: typer.Typer) -> None:
--- a/pathturn/config/installation.py
+++ b/pathturn/config/installation.py
@@ -29,6 +29,9 @@
     except msgspec.DecodeError as fault:
         raise Unusable([Fault("", str(fault), "look at deploy/operator.json", str(path))]) from None
     folder = path.resolve().parent
-    placed = {name: str(folder / value) for name in ("document", "ledger", "control")
-              if (value := getattr(told, name)) is not None}
+    placed = {
+        name: str(folder / value)
+        for name in ("document", "ledger", "control")
+        if (value := getattr(told, name)) is not None
+    }
     return msgspec.structs.replace(told, **placed)
--- a/pathturn/config/read.py
+++ b/pathturn/config/read.py
@@ -205,8 +205,11 @@
 
 
 def _leaf(value: Any, kind: inspect.Type, path: str) -> Iterator[Fault | None]:
-    wanted = {inspect.StrType: (str, "text"), inspect.IntType: (int, "a whole number"),
-              inspect.NoneType: (type(None), "nothing")}.get(type(kind))
+    wanted = {
+        inspect.StrType: (str, "text"),
+        inspect.IntType: (int, "a whole number"),
+        inspect.NoneType: (type(None), "nothing"),
+    }.get(type(kind))
     if isinstance(kind, inspect.LiteralType):
         if value not in kind.values or type(value) is not type(kind.values[0]):
             yield Fault(path, f"{value!r} is none of the values", nearest(str(value), kind.values))
--- a/pathturn/control/peer.py
+++ b/pathturn/control/peer.py
@@ -29,8 +29,10 @@
         try:
             self.link.connect(path)
         except OSError as fault:
-            raise Unanswered(f"{path}: {fault.strerror or fault}; is the gateway running, with `control` in "
-                             "its operator's file?") from fault
+            raise Unanswered(
+                f"{path}: {fault.strerror or fault}; is the gateway running, with `control` in "
+                "its operator's file?"
+            ) from fault
         self.lines = self.link.makefile("rb")
 
     def call(self, method: str, **params: Any) -> Any:
--- a/pathturn/control/protocol.py
+++ b/pathturn/control/protocol.py
@@ -39,22 +39,30 @@
     def __init__(self, operated: Operated) -> None:
         self.operated = operated
         self.methods: dict[str, Callable[..., Any]] = {
-            "config.check": self._check, "change.stage": self._stage, "change.apply": self._apply,
-            "change.undo": self._undo, "change.status": self._status, "change.history": self._history}
+            "config.check": self._check,
+            "change.stage": self._stage,
+            "change.apply": self._apply,
+            "change.undo": self._undo,
+            "change.status": self._status,
+            "change.history": self._history,
+        }
 
     def answer(self, line: bytes) -> bytes:
         """One answer for each line, whatever it was."""
         try:
             message = msgspec.json.decode(line, type=Message)
             # A document may be large: it is read in slices by whoever checks it.
-            params = {name: part if name == "document" else msgspec.json.decode(part)
-                      for name, part in message.params.items()}
+            params = {
+                name: part if name == "document" else msgspec.json.decode(part)
+                for name, part in message.params.items()
+            }
         except (msgspec.DecodeError, UnicodeDecodeError) as fault:
             return fault_line(None, MALFORMED, f"no call: {fault}")
         method = self.methods.get(message.method)
         if method is None:
-            return fault_line(message.id, UNKNOWN, f"no method {message.method!r}; there are "
-                                                   + ", ".join(self.methods))
+            return fault_line(
+                message.id, UNKNOWN, f"no method {message.method!r}; there are " + ", ".join(self.methods)
+            )
         return self._call(message.id, method, params)
 
     def _call(self, number: Any, method: Callable[..., Any], params: dict[str, Any]) -> bytes:
@@ -63,8 +71,12 @@
         except Refused as fault:
             return fault_line(number, REFUSED, str(fault), code_name=fault.code)
         except Unusable as fault:
-            return fault_line(number, FAULTY, f"{len(fault.faults)} faults",
-                              faults=[each._asdict() for each in fault.faults])
+            return fault_line(
+                number,
+                FAULTY,
+                f"{len(fault.faults)} faults",
+                faults=[each._asdict() for each in fault.faults],
+            )
         except (Unwritten, Broken, Cancelled, Full) as fault:
             return fault_line(number, UNDONE, str(fault))
         except TypeError as fault:
--- a/pathturn/core/choice.py
+++ b/pathturn/core/choice.py
@@ -69,8 +69,14 @@
         self.ran_since = self.ran_at = self.key = self.data_set = self.course = self.pool = self.entry = None
 
     def may_resend(self, now: int) -> bool:
-        return self.ran_since is None or self.group.kind == names.REPEATABLE or (
-            self.group.kind == names.REFERENCED and now - self.ran_since < 0.95 * self.group.repeat_span_us)
+        return (
+            self.ran_since is None
+            or self.group.kind == names.REPEATABLE
+            or (
+                self.group.kind == names.REFERENCED
+                and now - self.ran_since < 0.95 * self.group.repeat_span_us
+            )
+        )
 
     def harmless(self) -> bool:
         """Whether a pushback would tell the truth: trying again cannot have a second effect."""
@@ -80,17 +86,21 @@
     def allowed(self, engine: "Engine") -> bool:
         """Placement, and for a referenced batch that may have run the engines that drop its repeat."""
         group, first = self.group, self.ran_at
-        if ((group.zones is not None and engine.zone not in group.zones)
-                or (group.machines is not None and engine.machine not in group.machines)
-                or (self.course is not None and not self.course.reaches(engine.index))):
+        if (
+            (group.zones is not None and engine.zone not in group.zones)
+            or (group.machines is not None and engine.machine not in group.machines)
+            or (self.course is not None and not self.course.reaches(engine.index))
+        ):
             return False
         anywhere = first is None or group.kind == names.REPEATABLE or group.repeat_scope == "all"
-        return anywhere or (engine.zone == first.zone if group.repeat_scope == "zone" else
-                            engine.cell == first.cell)
+        return anywhere or (
+            engine.zone == first.zone if group.repeat_scope == "zone" else engine.cell == first.cell
+        )
 
 
 class Window:
     """Own threads out at once, in parts of an engine: opens while it binds, closes while answers run long."""
+
     def __init__(self, width: float, narrowest: float, widest: float, now: int, weight: float = 1.0) -> None:
         self.width, self.narrowest, self.widest, self.weight = width, narrowest, widest, weight
         self.stretch, self.cut_at, self.pressed = 1.0, now, False
@@ -133,6 +143,7 @@
 
 class Budget:
     """Further dispatches: spent is counted too high, taken too low, by the oldest bucket each."""
+
     def __init__(self, free: float, share: float, span_us: int) -> None:
         self.free, self.share, self.taken, self.spent = free, share, Ring(span_us, 20), Ring(span_us, 20)
 
@@ -145,8 +156,16 @@
     a cold engine may have. Where that is less than a small batch, a lot is drawn for each window: all send
     about half of what the engine bears by then. A gateway waits out one window of its own."""
 
-    def __init__(self, least: float, cold_us: int, multiple: float, fall_us: int, gateways: int, salt: object,
-                 least_work: float) -> None:
+    def __init__(
+        self,
+        least: float,
+        cold_us: int,
+        multiple: float,
+        fall_us: int,
+        gateways: int,
+        salt: object,
+        least_work: float,
+    ) -> None:
         self.part, self.cold_us = 0.6 * multiple * least * REFERENCE_LOAD * fall_us / gateways, cold_us
         self.from_us, self.fall_us, self.least_work, self.salt = 0, fall_us, least_work, salt
         self.least, self.lots = least, 0.5 * fall_us / gateways / least_work
@@ -219,9 +238,29 @@
 
 
 class Gateway:
-    def __init__(self, *, seed, instance, gateways, groups, cores, grants, pages, note_us,
-                 report_fields, probes, ask_list, max_dispatches, may_cancel, retry_us, step_us,
-                 cold, key_rest_us, budget, costs) -> None:
+    def __init__(
+        self,
+        *,
+        seed,
+        instance,
+        gateways,
+        groups,
+        cores,
+        grants,
+        pages,
+        note_us,
+        report_fields,
+        probes,
+        ask_list,
+        max_dispatches,
+        may_cancel,
+        retry_us,
+        step_us,
+        cold,
+        key_rest_us,
+        budget,
+        costs,
+    ) -> None:
         self.seed, self.instance, self.counter = seed, instance, count()
         self.learned = [Learned(group, pages or not grants) for group in groups]
         self.cores, self.gateways = cores, max(1, gateways)
@@ -304,7 +343,8 @@
                 self.engines[index].state = names.GONE
         for index, zone, machine, cell, state, size, started in entries:
             engine = self.engines[index] = self.engines.get(index) or Engine(
-                index, 1.2 / self.gateways, self.chance(index), self.now)
+                index, 1.2 / self.gateways, self.chance(index), self.now
+            )
             engine.zone, engine.machine, engine.cell, engine.state = zone, machine, cell, state
             engine.cores, engine.started = self.cores.get(machine) or size or 1, started
             if started:
@@ -316,13 +356,16 @@
         fair = len(live) / self.gateways
         if live and not self.fleet:
             # A thin gateway hears too little to tell a crowd: where costs are told, its part is all it takes.
-            self.fleet = (Window(1.2 * fair, 0.0, inf, self.now, 1.65 if self.costs else 1.0),
-                          Window(4.0 * fair, 0.0, inf, self.now, 0.5))
+            self.fleet = (
+                Window(1.2 * fair, 0.0, inf, self.now, 1.65 if self.costs else 1.0),
+                Window(4.0 * fair, 0.0, inf, self.now, 0.5),
+            )
         for window, least in zip(self.fleet, (fair, 0.3 * fair)):
             window.narrowest, window.widest = least, WIDEST * len(live)
 
-    def batch(self, index, group, customer, key, left_us, work_us, memory_mb, data_set, repeat,
-              course=None) -> None:
+    def batch(
+        self, index, group, customer, key, left_us, work_us, memory_mb, data_set, repeat, course=None
+    ) -> None:
         learned = self.learned[group]
         if work_us:
             learned.usual += (work_us * learned.bias - learned.usual) / min(learned.seen + 5, 200)
@@ -377,8 +420,14 @@
     def note(self, index, engine, sort, level, number) -> None:
         self.engines[engine].heard, batch = self.now, self.batches[index]
         batch.spilt = batch.spilt or sort == names.SPILLS
-        if (batch.over or number not in batch.out or sort != names.PROGRESS or not self.may_cancel
-                or batch.kills or batch.sends >= self.max_dispatches):
+        if (
+            batch.over
+            or number not in batch.out
+            or sort != names.PROGRESS
+            or not self.may_cancel
+            or batch.kills
+            or batch.sends >= self.max_dispatches
+        ):
             return
         # Against bad plans; also catches a dispatch stuck behind others' work. Does harm where an estimate is
         # far too low: the same work starts over, so it is done only once a batch.
@@ -422,7 +471,7 @@
         stretch = learned.returned(batch, latency, work_us)
         scaled = latency / learned.latency
         engine.line.add(self.now, 1, load, scaled, load * load, load * scaled)
-        for window in (engine.window, *self.fleet[:1 + batch.small]):
+        for window in (engine.window, *self.fleet[: 1 + batch.small]):
             window.learn(self.now, stretch)
 
     def _blame(self, engine: Engine, dispatch: Dispatch, outcome: str) -> None:
@@ -465,8 +514,11 @@
     def _solve(self) -> None:
         live, self.solved_at = self._live(), self.now
         self.keys.resting = {key: until for key, until in self.keys.resting.items() if until > self.now}
-        self.ready = {pool: held for pool, line in self.ready.items() if (
-            held := sorted(each for each in line if each is each[2].entry and not each[2].over))}
+        self.ready = {
+            pool: held
+            for pool, line in self.ready.items()
+            if (held := sorted(each for each in line if each is each[2].entry and not each[2].over))
+        }
         for engine in live if self.load_field is None else ():
             engine.hear_load(self.now, len(engine.out) / engine.cores)
         # Probes are priced by the batch: a gateway with little traffic asks little, each engine in turn.
@@ -477,10 +529,13 @@
         sums = [engine.line.sums(self.now) for engine in live]
         pooled = [sum(column) for column in zip(*sums)]
         middle = sum(engine.load for engine in live) / max(1, sum(engine.load_at > -inf for engine in live))
-        shares = solve([engine.cores for engine in live],
-                       [max(0.0, engine.load) if engine.load_at > -inf else middle for engine in live],
-                       [fit(each, pooled) for each in sums],
-                       [engine.share or 1 / len(live) for engine in live], 1 / self.gateways)
+        shares = solve(
+            [engine.cores for engine in live],
+            [max(0.0, engine.load) if engine.load_at > -inf else middle for engine in live],
+            [fit(each, pooled) for each in sums],
+            [engine.share or 1 / len(live) for engine in live],
+            1 / self.gateways,
+        )
         for engine, share in zip(live, shares):
             engine.share = share
 
@@ -534,16 +589,32 @@
         locks, sort = group.holds_set or group.waits_for_set, (batch.course, batch.learned, batch.small)
         out = self.threads[1] if batch.small else sum(self.threads)
         wanted, free = (out + group.threads) / self.engine_threads, batch.small or not self.debt
-        if (opens is None or opens > self.now or batch.work >= self.refused.get(sort, inf)
-                or (batch.sends and not self.budget.allows(self.now))
-                or (batch.course is not None and not batch.course.fits(self.now, batch.sends > 0))
-                or not (self.fleet and self.fleet[batch.small].fits(wanted, free and not out))):
+        if (
+            opens is None
+            or opens > self.now
+            or batch.work >= self.refused.get(sort, inf)
+            or (batch.sends and not self.budget.allows(self.now))
+            or (batch.course is not None and not batch.course.fits(self.now, batch.sends > 0))
+            or not (self.fleet and self.fleet[batch.small].fits(wanted, free and not out))
+        ):
             return None
-        fits = (each for each in self.open if work <= each.bears and batch.allowed(each)
-                and not (locks and each.holds(batch.data_set)) and each.window.fits(
-                    (each.threads + group.threads) / (each.cores * THREADS_PER_CORE), not each.out))
-        chosen = max(fits, default=None, key=lambda each: each.credit + 0.5 * (batch.data_set in each.warm)
-                     - 100 * (each.index in batch.tried))
+        fits = (
+            each
+            for each in self.open
+            if work <= each.bears
+            and batch.allowed(each)
+            and not (locks and each.holds(batch.data_set))
+            and each.window.fits(
+                (each.threads + group.threads) / (each.cores * THREADS_PER_CORE), not each.out
+            )
+        )
+        chosen = max(
+            fits,
+            default=None,
+            key=lambda each: each.credit
+            + 0.5 * (batch.data_set in each.warm)
+            - 100 * (each.index in batch.tried),
+        )
         if chosen is None and not (batch.sends or locks):
             self.refused[sort] = batch.work
         return chosen
--- a/pathturn/memory/batches.py
+++ b/pathturn/memory/batches.py
@@ -27,12 +27,39 @@
 class Batch:
     """What the gateway itself needs of an open batch; what decides on it lies in the module."""
 
-    __slots__ = ("index", "source", "ticket", "group", "nonce", "key", "statement", "until_us", "steps",
-                 "over", "sent", "out", "priority", "grant_mb", "told", "course", "taken_us", "goal_us",
-                 "watch")
-
-    def __init__(self, index: int, source: Source | None, ticket: str, group: str, nonce: str | None,
-                 key: str | None, statement: bytes, until_us: int) -> None:
+    __slots__ = (
+        "index",
+        "source",
+        "ticket",
+        "group",
+        "nonce",
+        "key",
+        "statement",
+        "until_us",
+        "steps",
+        "over",
+        "sent",
+        "out",
+        "priority",
+        "grant_mb",
+        "told",
+        "course",
+        "taken_us",
+        "goal_us",
+        "watch",
+    )
+
+    def __init__(
+        self,
+        index: int,
+        source: Source | None,
+        ticket: str,
+        group: str,
+        nonce: str | None,
+        key: str | None,
+        statement: bytes,
+        until_us: int,
+    ) -> None:
         self.source = source
         self.index, self.ticket, self.group, self.nonce, self.key = index, ticket, group, nonce, key
         self.statement, self.until_us = statement, until_us
@@ -54,8 +81,7 @@
 class Dispatch:
     """One dispatch. Whoever carries it sets `stop`, so that it can be called back meanwhile."""
 
-    __slots__ = ("batch", "number", "place", "until_us", "sent_us", "called_back", "stop",
-                 "rerank")
+    __slots__ = ("batch", "number", "place", "until_us", "sent_us", "called_back", "stop", "rerank")
 
     def __init__(self, batch: Batch, place: Place, now_us: int, until_us: int) -> None:
         self.batch, self.number, self.place = batch, batch.sent, place
@@ -79,8 +105,16 @@
     def __init__(self) -> None:
         self.numbers, self.by_index, self.tickets = count(), {}, set()
 
-    def open(self, source: Source | None, ticket: str, group: str, nonce: str | None, key: str | None,
-             statement: bytes, until_us: int) -> Batch:
+    def open(
+        self,
+        source: Source | None,
+        ticket: str,
+        group: str,
+        nonce: str | None,
+        key: str | None,
+        statement: bytes,
+        until_us: int,
+    ) -> Batch:
         batch = Batch(next(self.numbers), source, ticket, group, nonce, key, statement, until_us)
         self.by_index[batch.index] = batch
         self.tickets.add(ticket)
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -32,8 +32,14 @@
 
 
 class Facade:
-    def __init__(self, decider: names.Decider, groups: dict[str, names.ServiceGroup],
-                 clock: Callable[[], int], tells_cost: bool, log: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        decider: names.Decider,
+        groups: dict[str, names.ServiceGroup],
+        clock: Callable[[], int],
+        tells_cost: bool,
+        log: Callable[[str], None],
+    ) -> None:
         self.decider, self.groups, self.clock = decider, groups, clock
         self.group_index = {name: index for index, name in enumerate(groups)}
         self.tells_cost, self.log_line = tells_cost, log
@@ -63,17 +69,40 @@
     def is_open(self, ticket: str) -> bool:
         return ticket in self.batches.tickets
 
-    def take(self, source: Source | None, ticket: str, group: str, left_us: int, nonce: str | None,
-             key: str | None, customer: str | None, work_us: int, memory_mb: float, data_set: int,
-             repeat: bool, statement: bytes) -> Batch:
+    def take(
+        self,
+        source: Source | None,
+        ticket: str,
+        group: str,
+        left_us: int,
+        nonce: str | None,
+        key: str | None,
+        customer: str | None,
+        work_us: int,
+        memory_mb: float,
+        data_set: int,
+        repeat: bool,
+        statement: bytes,
+    ) -> Batch:
         until_us = self.clock() + left_us - self._waited_us()
         batch = self.batches.open(source, ticket, group, nonce, key, statement, until_us)
         if self.router is not None:
             batch.told = self.traits(group, customer, key, data_set, ticket)
             batch.course, batch.taken_us = self.router.course(batch.told), self.clock()
             batch.goal_us, batch.watch = _goal_us(self.groups[group], work_us), self.watch
-        self._tell("batch", batch.index, self.group_index[group], customer, key, left_us, work_us, memory_mb,
-                   data_set, repeat, batch.course)
+        self._tell(
+            "batch",
+            batch.index,
+            self.group_index[group],
+            customer,
+            key,
+            left_us,
+            work_us,
+            memory_mb,
+            data_set,
+            repeat,
+            batch.course,
+        )
         # The event loop reads first what became readable last: over a standstill batches of one key that came
         # on two connections change places, and nothing tells when each came.
         if key is not None and self.first_of.setdefault(key, source) is not source and self._stood():
@@ -113,8 +142,9 @@
             self.batches.settle(batch)
 
     # For the operator's side.
-    def follow(self, router: "Router", traits: Callable[..., "Traits"],
-               watch: Callable[[Batch, End], None]) -> None:
+    def follow(
+        self, router: "Router", traits: Callable[..., "Traits"], watch: Callable[[Batch, End], None]
+    ) -> None:
         """From now on batches go by the router's tables, and `watch` hears how each one ended."""
         self.router, self.traits, self.watch = router, traits, watch
         router.listing(self.roster.seats)
@@ -122,9 +152,14 @@
     def take_back(self, generation: int) -> int:
         """What was taken under that generation and has been sent nowhere goes by the present one. In the same
         turn as the change of tables, so that no round lies between."""
-        moved = [batch for batch in self.batches.by_index.values()
-                 if batch.course is not None and batch.course.generation == generation
-                 and not batch.sent and not batch.over]
+        moved = [
+            batch
+            for batch in self.batches.by_index.values()
+            if batch.course is not None
+            and batch.course.generation == generation
+            and not batch.sent
+            and not batch.over
+        ]
         for batch in moved:
             batch.course = self.router.course(batch.told)
             self._tell("moved", batch.index, batch.course)
@@ -143,17 +178,34 @@
     def note(self, dispatch: Dispatch, sort: int, level: float) -> None:
         self._tell("note", dispatch.batch.index, dispatch.engine, sort, level, dispatch.number)
 
-    def report(self, dispatch: Dispatch, outcome: str, ended_us: int, work_us: int = 0, memory_mb: float = 0,
-               meter: list[float] | None = None, rows: bytes = b"") -> None:
+    def report(
+        self,
+        dispatch: Dispatch,
+        outcome: str,
+        ended_us: int,
+        work_us: int = 0,
+        memory_mb: float = 0,
+        meter: list[float] | None = None,
+        rows: bytes = b"",
+    ) -> None:
         """An outcome, exactly one for each dispatch; the first rows returned end the batch."""
         batch = dispatch.batch
         del batch.out[dispatch.number]
         if outcome == names.RETURNED:
             batch.end(End(names.RETURNED, rows=rows))
         told = outcome == names.RETURNED and self.tells_cost
-        self._tell("answer", batch.index, dispatch.number, dispatch.engine, outcome,
-                   max(0, ended_us - dispatch.sent_us), batch.over, work_us if told else 0,
-                   memory_mb if told else 0, meter)
+        self._tell(
+            "answer",
+            batch.index,
+            dispatch.number,
+            dispatch.engine,
+            outcome,
+            max(0, ended_us - dispatch.sent_us),
+            batch.over,
+            work_us if told else 0,
+            memory_mb if told else 0,
+            meter,
+        )
         self.batches.settle(batch)
 
     def unproven(self, dispatch: Dispatch) -> Callable[[], None]:
--- a/pathturn/memory/pools.py
+++ b/pathturn/memory/pools.py
@@ -15,8 +15,15 @@
 
 
 class Pools:
-    def __init__(self, cap: int, idle_us: int, dial_us: int, clock: Callable[[], int],
-                 dial: Callable[[Place, float], Line], log: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        cap: int,
+        idle_us: int,
+        dial_us: int,
+        clock: Callable[[], int],
+        dial: Callable[[Place, float], Line],
+        log: Callable[[str], None],
+    ) -> None:
         self.room, self.clock, self.dial, self.log = BoundedSemaphore(cap), clock, dial, log
         self.idle_us, self.dial_s = idle_us // EARLIER, dial_us / 1e6
         self.idle: dict[Place, list[Line]] = defaultdict(list)
--- a/pathturn/memory/roster.py
+++ b/pathturn/memory/roster.py
@@ -22,8 +22,10 @@
     @property
     def seats(self) -> list[Seat]:
         """The list as routing sees it."""
-        return [Seat(self.index_of[identity], identity, zone, machine, cell, state)
-                for identity, _, zone, machine, cell, state, *_ in self.told]
+        return [
+            Seat(self.index_of[identity], identity, zone, machine, cell, state)
+            for identity, _, zone, machine, cell, state, *_ in self.told
+        ]
 
     def rows(self, told: list[tuple]) -> list[tuple]:
         """The list with ids as indices, for the decision module. Of those gone nothing is kept, as new ids
--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -49,36 +49,53 @@
         limits = settings.get("limits") or {}
         decider, groups = build(int(told["seed"], 16), settings)
         self.step_s = (settings.get("stepUs") or 1000) / 1e6
-        self.facade = Facade(decider, groups, self.clock,
-                             bool((settings.get("domain") or {}).get("costInAnswers")), self.log)
+        self.facade = Facade(
+            decider, groups, self.clock, bool((settings.get("domain") or {}).get("costInAnswers")), self.log
+        )
         clients, engines = shares(told["limits"]["sockets"])
         self.longest_line = longest_line(told["limits"]["memory_mb"], clients)
         self.buffers, self.sessions = Buffers(), Sessions(clients, PARTING, self.clock)
-        self.pools = Pools(engines, limits.get("idleCloseUs") or 1_000_000,
-                           limits.get("dialTimeoutUs") or 250_000, self.clock,
-                           lambda place, dial_s: Line(place, dial_s, self.buffers, self.log), self.log)
+        self.pools = Pools(
+            engines,
+            limits.get("idleCloseUs") or 1_000_000,
+            limits.get("dialTimeoutUs") or 250_000,
+            self.clock,
+            lambda place, dial_s: Line(place, dial_s, self.buffers, self.log),
+            self.log,
+        )
         report = settings.get("report") or {}
-        self.engines = Engines(self.facade, self.pools, self.clock, report.get("fields") or [],
-                               bool(limits.get("secondCopies")))
+        self.engines = Engines(
+            self.facade, self.pools, self.clock, report.get("fields") or [], bool(limits.get("secondCopies"))
+        )
         self.asked_to_stop, self.parts = Event(), Group()
         serial, rows = directory.known(told["known"])
         self.facade.listing(names.CACHED, rows)
         self.names = directory.address(told["names"])
-        self.lookup = Lookup(self.facade, settings.get("discovery") == "ask", serial,
-                             lambda: self.pools.keep_only(self.facade.roster.places), self.log)
+        self.lookup = Lookup(
+            self.facade,
+            settings.get("discovery") == "ask",
+            serial,
+            lambda: self.pools.keep_only(self.facade.roster.places),
+            self.log,
+        )
         self.operator: Operator | None = None
         if installation is not None:
             from pathturn.process import operator  # what is not enabled is not imported
 
-            self.operator = operator.Operator(installation, self.facade, settings, clients, self.clock,
-                                              self.log)
+            self.operator = operator.Operator(
+                installation, self.facade, settings, clients, self.clock, self.log
+            )
         self.server = Door(directory.address(told["listen"]), self._admit, self._client)
 
     def run(self) -> None:
         """Serves, once its server has been started, until a stop is asked for and nothing taken is open."""
         self.lookup.follow(self.names)
-        for part in (self._rounds, self._beat, self._prune,
-                     *(self.operator.parts() if self.operator is not None else ())):
+        for part in (
+            self._rounds,
+            self._beat,
+            self._prune,
+            *(self.operator.parts() if self.operator is not None else ()),
+        ):
             self.parts.spawn(part)
         # What is there by now stays: the collector's longest passes need not go over it again and again.
         gc.freeze()
@@ -113,8 +130,14 @@
                 self.log("round failed: " + traceback.format_exc().replace("\n", " | "))
 
     def _admit(self, link: socket.socket, peer: tuple[str, int]) -> Session | None:
-        session = Session(link, self.facade, self.engines.send, self.buffers,
-                          lambda: not self.asked_to_stop.is_set(), self.longest_line)
+        session = Session(
+            link,
+            self.facade,
+            self.engines.send,
+            self.buffers,
+            lambda: not self.asked_to_stop.is_set(),
+            self.longest_line,
+        )
         if self.sessions.enter(session):
             return session
         self.log(f"client {peer[0]}:{peer[1]} taken=0 code=no_room")
--- a/pathturn/process/log.py
+++ b/pathturn/process/log.py
@@ -50,11 +50,15 @@
 def structured(name: str, form: str) -> Callable[[str], None]:
     import structlog
 
-    renderer = (structlog.processors.JSONRenderer() if form == "json"
-                else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty()))
+    renderer = (
+        structlog.processors.JSONRenderer()
+        if form == "json"
+        else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
+    )
     logger = structlog.wrap_logger(
         structlog.PrintLogger(sys.stderr),
-        processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), renderer]).bind(gateway=name)
+        processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), renderer],
+    ).bind(gateway=name)
 
     def print_line(text: str) -> None:
         event, told = fields(text)
--- a/pathturn/process/operator.py
+++ b/pathturn/process/operator.py
@@ -18,8 +18,15 @@
 
 
 class Operator:
-    def __init__(self, told: Installation, facade: Facade, settings: dict[str, Any], clients: int,
-                 clock: Callable[[], int], log: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        told: Installation,
+        facade: Facade,
+        settings: dict[str, Any],
+        clients: int,
+        clock: Callable[[], int],
+        log: Callable[[str], None],
+    ) -> None:
         """Raises what makes the operator's part unusable; nothing of it is in force then."""
         self.facade, self.most_open = facade, clients * MOST_OPEN
         self.further = further_share(settings)
--- a/pathturn/process/settings.py
+++ b/pathturn/process/settings.py
@@ -6,8 +6,13 @@
 from pathturn.core.choice import Gateway
 
 KINDS = {"retryable": names.REPEATABLE, "dedup": names.REFERENCED, "fragile": names.ONCE_ONLY}
-FIELDS = {"concurrent": "held", "load_share": "utilisation", "depth": "waiting", "x0": "memory",
-          "x1": "disks"}
+FIELDS = {
+    "concurrent": "held",
+    "load_share": "utilisation",
+    "depth": "waiting",
+    "x0": "memory",
+    "x1": "disks",
+}
 
 
 def _places(values: list[str] | None) -> frozenset[str] | None:
@@ -71,8 +76,12 @@
         may_cancel=bool(limits.get("cancel")),
         retry_us=(limits.get("maxRetryAfterUs") or 0) if limits.get("retryAfter") else 0,
         step_us=config.get("stepUs") or 1000,
-        cold=(rules.get("coldFrom", 1.0), rules.get("coldUs") or 0, rules.get("fallMultiple") or 0.0,
-              rules.get("fallUs") or 0),
+        cold=(
+            rules.get("coldFrom", 1.0),
+            rules.get("coldUs") or 0,
+            rules.get("fallMultiple") or 0.0,
+            rules.get("fallUs") or 0,
+        ),
         key_rest_us=rules.get("keyQuietUs") or 0,
         budget=budget,
         costs=bool(domain.get("costInAnswers")),
--- a/pathturn/routing/checks.py
+++ b/pathturn/routing/checks.py
@@ -34,8 +34,13 @@
 def checking(document: Document, facts: Facts) -> Generator[None, None, list[Fault]]:
     """Every fault; of no use before the shape is right. In slices, for a large document takes a second."""
     found: list[Fault] = []
-    for part in (_sizes(document), _pools(document, facts), _routes(document, facts),
-                 _limits(document, facts), _policy(document)):
+    for part in (
+        _sizes(document),
+        _pools(document, facts),
+        _routes(document, facts),
+        _limits(document, facts),
+        _policy(document),
+    ):
         yield from _gather(part, found)
     if not found:  # the checks below look things up by names that are right by now
         for part in (_shadowed(document, facts), _rules(document, facts)):
@@ -89,8 +94,11 @@
 
 def _missing(pool: Pool, live: list[Seat]) -> str:
     """The one part that no engine fits by itself, if there is one."""
-    for part, here in (("zones", {seat.zone for seat in live}), ("machines", {seat.machine for seat in live}),
-                       ("cells", {seat.cell for seat in live})):
+    for part, here in (
+        ("zones", {seat.zone for seat in live}),
+        ("machines", {seat.machine for seat in live}),
+        ("cells", {seat.cell for seat in live}),
+    ):
         stated = getattr(pool, part)
         if stated is not None and not here & set(stated):
             return f"{part} on the list are {', '.join(sorted(map(str, here)))}"
@@ -127,8 +135,11 @@
 def _target(document: Document, to: str | Split, path: str) -> Found:
     for pool in [to] if isinstance(to, str) else to:
         if pool not in document.pools:
-            yield Fault(path if isinstance(to, str) else join(path, pool), f"no pool {pool!r}",
-                        nearest(pool, document.pools))
+            yield Fault(
+                path if isinstance(to, str) else join(path, pool),
+                f"no pool {pool!r}",
+                nearest(pool, document.pools),
+            )
     if not isinstance(to, str) and not isclose(sum(to.values()), 1.0, abs_tol=1e-6):
         yield Fault(path, f"the split adds up to {sum(to.values()):.6g}", "make its weights add up to 1")
 
@@ -163,11 +174,17 @@
     if limit.burst > 1 and limit.rate is None:
         yield Fault(f"{path}.burst", "a burst without a rate", "state rate too")
     if facts.further is not None and limit.further is not None and limit.further > facts.further:
-        yield Fault(f"{path}.further", f"{limit.further:.4g} is above the settings' {facts.further:.4g}",
-                    f"write {facts.further:.4g} or less")
+        yield Fault(
+            f"{path}.further",
+            f"{limit.further:.4g} is above the settings' {facts.further:.4g}",
+            f"write {facts.further:.4g} or less",
+        )
     if facts.most_open is not None and limit.open is not None and limit.open > facts.most_open:
-        yield Fault(f"{path}.open", f"{limit.open} is above what connections allow",
-                    f"write {facts.most_open} or less")
+        yield Fault(
+            f"{path}.open",
+            f"{limit.open} is above what connections allow",
+            f"write {facts.most_open} or less",
+        )
 
 
 def _policy(document: Document) -> Found:
@@ -191,10 +208,12 @@
         if box.number % 16 == 15:
             yield None
         if (by := index.covering(box)) is not None:
-            yield Fault(join("routes", box.number),
-                        f"{document.routes[box.number].name!r} can never match: {document.routes[by].name!r} "
-                        f"(routes[{by}]) takes what is left of it",
-                        f"move it before routes[{by}], or drop it")
+            yield Fault(
+                join("routes", box.number),
+                f"{document.routes[box.number].name!r} can never match: {document.routes[by].name!r} "
+                f"(routes[{by}]) takes what is left of it",
+                f"move it before routes[{by}], or drop it",
+            )
     yield from index.dismantle()
 
 
@@ -203,11 +222,18 @@
     live = [seat for seat in facts.seats if seat.state != GONE]
     if not live:
         return
-    fits = {name: {seat for seat in live if LivePool(name, pool).fits(seat)}
-            for name, pool in document.pools.items()}
+    fits = {
+        name: {seat for seat in live if LivePool(name, pool).fits(seat)}
+        for name, pool in document.pools.items()
+    }
     told = set()
-    targets = chain(((join("routes", at) + ".to", route.match.groups, route.to)
-                     for at, route in enumerate(document.routes)), [("default", None, document.default)])
+    targets = chain(
+        (
+            (join("routes", at) + ".to", route.match.groups, route.to)
+            for at, route in enumerate(document.routes)
+        ),
+        [("default", None, document.default)],
+    )
     for at, (path, groups, to) in enumerate(targets):
         if at % 16 == 15:
             yield None
@@ -222,15 +248,20 @@
 
 
 def _broken(group: ServiceGroup, pool: set[Seat], live: list[Seat]) -> tuple[str, str]:
-    may = [seat for seat in live if (group.zones is None or seat.zone in group.zones)
-           and (group.machines is None or seat.machine in group.machines)]
+    may = [
+        seat
+        for seat in live
+        if (group.zones is None or seat.zone in group.zones)
+        and (group.machines is None or seat.machine in group.machines)
+    ]
     if may and not pool & set(may):
         return "has no engine where placement binds", "add an engine that the group may use, or match less"
     if group.kind == REFERENCED and group.repeat_scope != "all":
         part = "zone" if group.repeat_scope == "zone" else "cell"
         halves = {getattr(seat, part) for seat in pool & set(may)}
-        if cut := sorted(seat.identity for seat in may
-                         if getattr(seat, part) in halves and seat not in pool):
-            return (f"takes a {part} apart that drops repeats ({', '.join(cut[:3])} left out) of",
-                    f"take each {part} whole or not at all")
+        if cut := sorted(seat.identity for seat in may if getattr(seat, part) in halves and seat not in pool):
+            return (
+                f"takes a {part} apart that drops repeats ({', '.join(cut[:3])} left out) of",
+                f"take each {part} whole or not at all",
+            )
     return "", ""
--- a/pathturn/routing/index.py
+++ b/pathturn/routing/index.py
@@ -74,7 +74,7 @@
         slot = bisect_right(self.starts, first) - 1
         if slot < 0:
             return NONE
-        return max(self.best[slot:bisect_right(self.starts, last)])
+        return max(self.best[slot : bisect_right(self.starts, last)])
 
 
 class Node:
@@ -169,8 +169,9 @@
         """An earlier box that takes what is last left of this one, where nothing of it is left at all. Parts
         of several boxes count together over data sets, groups and values, not over prefixes."""
         found = None
-        for group, customer, prefix in product(box.groups or self.groups, box.customers or (None,),
-                                               box.prefixes or ("",)):
+        for group, customer, prefix in product(
+            box.groups or self.groups, box.customers or (None,), box.prefixes or ("",)
+        ):
             for first, last in box.ranges or ((0, inf),):
                 taken = self._taker(group, customer, prefix, first, last, box.number)
                 if taken is None:
@@ -178,8 +179,9 @@
                 found = taken if found is None else max(found, taken)
         return found
 
-    def _taker(self, group: str, customer: str | None, prefix: str, first: int, last: float,
-               number: int) -> int | None:
+    def _taker(
+        self, group: str, customer: str | None, prefix: str, first: int, last: float, number: int
+    ) -> int | None:
         for side in self._sides(group, customer):
             for node in self._path(*side, prefix):
                 if node.whole < number:
--- a/pathturn/routing/pools.py
+++ b/pathturn/routing/pools.py
@@ -26,10 +26,12 @@
 
     def fits(self, seat: Seat) -> bool:
         spec = self.spec
-        return ((spec.zones is None or seat.zone in spec.zones)
-                and (spec.machines is None or seat.machine in spec.machines)
-                and (spec.cells is None or seat.cell in spec.cells)
-                and (self._ids is None or self._ids.match(seat.identity) is not None))
+        return (
+            (spec.zones is None or seat.zone in spec.zones)
+            and (spec.machines is None or seat.machine in spec.machines)
+            and (spec.cells is None or seat.cell in spec.cells)
+            and (self._ids is None or self._ids.match(seat.identity) is not None)
+        )
 
     def hear(self, changed: Iterable[Seat], gone: Iterable[int]) -> None:
         self.members.difference_update(gone)
--- a/pathturn/routing/table.py
+++ b/pathturn/routing/table.py
@@ -65,9 +65,18 @@
         self.name, self.ends, self.courses = name, ends, courses
         # What it comes to without its name: two ways of one meaning treat a batch alike, except for a split,
         # which goes by the name too.
-        self.meaning = (name if len(courses) > 1 else None, ends, tuple(
-            (course.pool.spec, course.pool.fallback and course.pool.fallback.spec,
-             tuple(quota.limit for quota in course.quotas)) for course in courses))
+        self.meaning = (
+            name if len(courses) > 1 else None,
+            ends,
+            tuple(
+                (
+                    course.pool.spec,
+                    course.pool.fallback and course.pool.fallback.spec,
+                    tuple(quota.limit for quota in course.quotas),
+                )
+                for course in courses
+            ),
+        )
 
     def course(self, unit: str) -> Course:
         if len(self.courses) == 1:
@@ -126,9 +135,15 @@
 
     def _way(self, name: str, to: str | Split, quotas: dict[tuple[str, str], list[Quota]]) -> Way:
         weights = {to: 1.0} if isinstance(to, str) else to
-        courses = [Course(self.generation, name, self.pools[pool],
-                          tuple(quotas.get(("route", name), []) + quotas.get(("pool", pool), [])))
-                   for pool in weights]
+        courses = [
+            Course(
+                self.generation,
+                name,
+                self.pools[pool],
+                tuple(quotas.get(("route", name), []) + quotas.get(("pool", pool), [])),
+            )
+            for pool in weights
+        ]
         return Way(name, tuple(accumulate(weights.values())), tuple(courses))
 
     def way(self, group: str, customer: str | None, key: str | None, data_set: int) -> Way:
@@ -136,7 +151,6 @@
         return self.default if number is None else self.ways[number]
 
 
-
 def _subject(limit: Limit) -> tuple[str, str]:
     return ("route", limit.route) if limit.route is not None else ("pool", limit.pool or "")
 
--- a/pathturn/standins/clients.py
+++ b/pathturn/standins/clients.py
@@ -28,17 +28,30 @@
         self.returned: list[str] = []
         self.reader = gevent.spawn(self._read)
 
-    def send(self, group: str, patience_ms: int = 1000, key: str | None = None, nonce: str | None = None,
-             customer: str | None = None, data_set: int = 3) -> int:
+    def send(
+        self,
+        group: str,
+        patience_ms: int = 1000,
+        key: str | None = None,
+        nonce: str | None = None,
+        customer: str | None = None,
+        data_set: int = 3,
+    ) -> int:
         self.number += 1
-        params = {"trace": f"{next(self.tickets):016x}", "patience": patience_ms, "weight": 20, "est_mb": 1,
-                  "data": b64encode(f"SELECT 1 FROM sales_{data_set}.orders".encode()).decode()}
+        params = {
+            "trace": f"{next(self.tickets):016x}",
+            "patience": patience_ms,
+            "weight": 20,
+            "est_mb": 1,
+            "data": b64encode(f"SELECT 1 FROM sales_{data_set}.orders".encode()).decode(),
+        }
         for name, value in (("entity", key), ("nonce", nonce), ("customer", customer)):
             if value is not None:
                 params[name] = value
         self.open[self.number] = (group, nonce, monotonic())
-        self.link.sendall(orjson.dumps({"jsonrpc": "2.0", "id": self.number, "method": group,
-                                        "params": params}) + b"\n")
+        self.link.sendall(
+            orjson.dumps({"jsonrpc": "2.0", "id": self.number, "method": group, "params": params}) + b"\n"
+        )
         return self.number
 
     def abort(self, number: int) -> None:
@@ -54,8 +67,11 @@
             if group is None:
                 continue
             error = message.get("error")
-            how = "returned" if error is None else (
-                "pushed_back" if error["code"] == PUSHED_BACK else "errored")
+            how = (
+                "returned"
+                if error is None
+                else ("pushed_back" if error["code"] == PUSHED_BACK else "errored")
+            )
             self.ends[group][how] += 1
             self.took[group].append(monotonic() - sent)
             if how == "returned" and nonce is not None:
@@ -92,8 +108,12 @@
             group = "pay" if roll < 0.3 else "look"
             self.sent[group] += 1
             nonce = f"pay{self.sent['pay']}-1" if group == "pay" else None
-            caller.send(group, nonce=nonce, customer=f"farm{self.chance.randrange(8)}",
-                        data_set=self.chance.randrange(1, 9))
+            caller.send(
+                group,
+                nonce=nonce,
+                customer=f"farm{self.chance.randrange(8)}",
+                data_set=self.chance.randrange(1, 9),
+            )
 
     def load(self, key: str) -> None:
         # A key's batches on one connection: over two, nobody could say which was first.
@@ -127,8 +147,9 @@
             caller.close()
 
 
-def judged(begun: Iterable[tuple[float, str]], returned: Iterable[str],
-           span_s: float = 10.0) -> dict[str, int]:
+def judged(
+    begun: Iterable[tuple[float, str]], returned: Iterable[str], span_s: float = 10.0
+) -> dict[str, int]:
     """What the engines saw of loads and once-only batches. A load's repeat within the span is dropped by its
     nonce, so that only the first has its effect; one after it counts as `doubled`, as does any repeat of a
     once-only batch. Turns of a key are in order by their first beginnings."""
--- a/pathturn/standins/demo.py
+++ b/pathturn/standins/demo.py
@@ -16,10 +16,13 @@
 
 RATE, WARM_S, LINE_S = 60.0, 5.0, 0.5
 HOW = ("returned", "pushed_back", "errored")
-DOCUMENT = {"version": 1, "pools": {"halls": {"zones": ["a", "b"]}, "attic": {"zones": ["attic"]}},
-            "routes": [{"name": "first-sets", "match": {"groups": ["look"], "data_sets": [[1, 5]]},
-                        "to": "halls"}],
-            "default": "halls", "change": {"watch": "6s", "canary": [{"share": "50%", "hold": "3s"}]}}
+DOCUMENT = {
+    "version": 1,
+    "pools": {"halls": {"zones": ["a", "b"]}, "attic": {"zones": ["attic"]}},
+    "routes": [{"name": "first-sets", "match": {"groups": ["look"], "data_sets": [[1, 5]]}, "to": "halls"}],
+    "default": "halls",
+    "change": {"watch": "6s", "canary": [{"share": "50%", "hold": "3s"}]},
+}
 
 
 def run(seconds: float, harm: bool) -> int:
@@ -72,8 +75,13 @@
         total = {how: sum(each[how] for each in ends.values()) for how in HOW}
         change = conductor.change
         state = f", change {change.state} at {change.share:.0%}" if change is not None else ""
-        print(f"\r{left:4.0f} s left, {sum(crowd.sent.values())} sent, "
-              + ", ".join(f"{count} {how}" for how, count in total.items()) + state + " " * 12, end="")
+        print(
+            f"\r{left:4.0f} s left, {sum(crowd.sent.values())} sent, "
+            + ", ".join(f"{count} {how}" for how, count in total.items())
+            + state
+            + " " * 12,
+            end="",
+        )
         sys.stdout.flush()
         gevent.sleep(LINE_S)
     print()
@@ -84,12 +92,18 @@
     print(f"\n{'group':<8}{'sent':>8}{'returned':>10}{'pushed back':>13}{'errored':>9}")
     for group in sorted(crowd.sent):
         each = ends[group]
-        print(f"{group:<8}{crowd.sent[group]:>8}{each['returned']:>10}{each['pushed_back']:>13}"
-              f"{each['errored']:>9}")
-    seen = judged((row for engine in farm.engines.values() for row in engine.begun),
-                  (nonce for caller in crowd.callers for nonce in caller.returned))
-    print(f"no answer: {crowd.missing()}, answered twice: {crowd.doubled_answers()}, "
-          f"loads out of order: {seen['out_of_order']}")
+        print(
+            f"{group:<8}{crowd.sent[group]:>8}{each['returned']:>10}{each['pushed_back']:>13}"
+            f"{each['errored']:>9}"
+        )
+    seen = judged(
+        (row for engine in farm.engines.values() for row in engine.begun),
+        (nonce for caller in crowd.callers for nonce in caller.returned),
+    )
+    print(
+        f"no answer: {crowd.missing()}, answered twice: {crowd.doubled_answers()}, "
+        f"loads out of order: {seen['out_of_order']}"
+    )
     if change is not None:
         print(f"change {change.id!r}: {change.state}; {change.reason}")
     return not crowd.missing() and not crowd.doubled_answers() and not seen["out_of_order"]
--- a/pathturn/standins/engines.py
+++ b/pathturn/standins/engines.py
@@ -16,27 +16,39 @@
 FORGOTTEN_S = 2.0  # the protocol's figure: a query ends by itself when it is not asked for that long
 # Words by which a batch has its effect, or may have had it for all that anybody can tell.
 RUN = frozenset({"rows", "runs", "notes", "reset", "drop", "lost", "error", "hang"})
-GOOD = (b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nX-Cost-Ms: 5\r\nX-Needed-Mb: 1\r\nContent-Length: 6\r\n\r\n"
-        b"a\tb\t0\n")
+GOOD = (
+    b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nX-Cost-Ms: 5\r\nX-Needed-Mb: 1\r\nContent-Length: 6\r\n\r\na\tb\t0\n"
+)
 # What a peer may send in place of a good answer; with a None behind it the connection stays open.
 SPOILT = {
-    "noise": (bytes(range(128, 180)) + b"\r\n\r\n",), "cut": (GOOD[:-3],), "closed": (b"",), "mute": (None,),
-    "short": (GOOD.replace(b"th: 6", b"th: 60"), None), "long": (GOOD.replace(b"th: 6", b"th: 5"), None),
-    "minus": (GOOD.replace(b"th: 6", b"th: -1"), None), "page": (GOOD.replace(b"X-Pages", b"X-Page"), None),
+    "noise": (bytes(range(128, 180)) + b"\r\n\r\n",),
+    "cut": (GOOD[:-3],),
+    "closed": (b"",),
+    "mute": (None,),
+    "short": (GOOD.replace(b"th: 6", b"th: 60"), None),
+    "long": (GOOD.replace(b"th: 6", b"th: 5"), None),
+    "minus": (GOOD.replace(b"th: 6", b"th: -1"), None),
+    "page": (GOOD.replace(b"X-Pages", b"X-Page"), None),
     "huge": (GOOD.replace(b"th: 6", b"th: 3000000000"), *[bytes(60_000)] * 20, None),
     "endless": (b"HTTP/1.1 200 OK\r\nX-Pages: ", *[b"1" * 60_000] * 20, None),
     "chunks": (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n", None),
     "unbounded": (b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\n\r\na\tb\t", *[b"c" * 60_000] * 20, None),
     "colon": (GOOD.replace(b"X-Cost-Ms:", b"no colon"), None),
     "pages": (GOOD.replace(b"ges: 1", b"ges: nan"),),
-    "columns": (GOOD.replace(b"\tb\t", b"\tb "), None), "text": (GOOD.replace(b"\tb\t", b"\t\xff\t"), None),
+    "columns": (GOOD.replace(b"\tb\t", b"\tb "), None),
+    "text": (GOOD.replace(b"\tb\t", b"\t\xff\t"), None),
 }
 # What a good answer may bring beside itself.
 MORE = {
     "early": (b"HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n" + GOOD, None),
-    "twice": (GOOD + GOOD, None), "behind": (GOOD + b"\x00\xa7 noise", None),
-    "figures": (GOOD.replace(b"Ms: 5", b"Ms: 1e999").replace(b"Mb: 1", b"Mb: nan\r\nX-Meter: depth:inf;"
-                                                             b"concurrent:-1e300"), None),
+    "twice": (GOOD + GOOD, None),
+    "behind": (GOOD + b"\x00\xa7 noise", None),
+    "figures": (
+        GOOD.replace(b"Ms: 5", b"Ms: 1e999").replace(
+            b"Mb: 1", b"Mb: nan\r\nX-Meter: depth:inf;concurrent:-1e300"
+        ),
+        None,
+    ),
 }
 
 
@@ -140,8 +152,12 @@
             self.over(ticket)
             # No two queries take the same to the microsecond, and each says the same again.
             cost = 5 + int(ticket[-4:], 16) / 1e5
-            told = [("X-Pages", value or 2), ("X-Cost-Ms", cost), ("X-Needed-Mb", 1),
-                    ("X-Meter", "depth:0;concurrent:2")]
+            told = [
+                ("X-Pages", value or 2),
+                ("X-Cost-Ms", cost),
+                ("X-Needed-Mb", 1),
+                ("X-Meter", "depth:0;concurrent:2"),
+            ]
             return self.answer(link, 200, told, b"a\tb\t0\n" * (FULL_PAGE if kind == "big" else 1))
         self.over(ticket)
         status = {"full": 503, "over": 504}.get(kind, 500)
@@ -169,10 +185,16 @@
             self.refused = True
         link.close()
 
-    def answer(self, link: socket.socket, status: int, fields: Iterable[tuple[str, Any]] = (),
-               body: bytes = b"") -> None:
-        head = [f"HTTP/1.1 {status} said", *(f"{name}: {value}" for name, value in fields),
-                f"Content-Length: {len(body)}", "", ""]
+    def answer(
+        self, link: socket.socket, status: int, fields: Iterable[tuple[str, Any]] = (), body: bytes = b""
+    ) -> None:
+        head = [
+            f"HTTP/1.1 {status} said",
+            *(f"{name}: {value}" for name, value in fields),
+            f"Content-Length: {len(body)}",
+            "",
+            "",
+        ]
         link.sendall("\r\n".join(head).encode() + body)
 
 
--- a/pathturn/standins/farm.py
+++ b/pathturn/standins/farm.py
@@ -16,9 +16,13 @@
 
 SECOND, ZONE = 1_000_000, "z"
 # (effect, time limit in ms, more settings): what the wire calls repeatable, once-only and referenced batches.
-GROUPS = {"look": ("retryable", 1500, {}), "pay": ("fragile", 1500, {}),
-          "load": ("dedup", 7000, {"group": "all", "memorySpanUs": 10 * SECOND, "inTurn": True}),
-          "book": ("fragile", 7000, {"inTurn": True}), "sum": ("retryable", 7000, {"inTurn": True})}
+GROUPS = {
+    "look": ("retryable", 1500, {}),
+    "pay": ("fragile", 1500, {}),
+    "load": ("dedup", 7000, {"group": "all", "memorySpanUs": 10 * SECOND, "inTurn": True}),
+    "book": ("fragile", 7000, {"inTurn": True}),
+    "sum": ("retryable", 7000, {"inTurn": True}),
+}
 
 
 def at(server: StreamServer | DatagramServer) -> str:
@@ -34,21 +38,47 @@
 
 def settings() -> dict[str, Any]:
     return {
-        "classes": [{"name": name, "promiseUs": 400_000, "deadlineUs": limit * 1000, "effect": effect,
-                     "worth": 1.0, "lateValue": 1.0, **more}
-                    for name, (effect, limit, more) in GROUPS.items()],
-        "limits": {"maxAttempts": 4, "cancel": True, "dialTimeoutUs": 150_000, "idleCloseUs": 15 * SECOND,
-                   "secondCopies": True, "retryAfter": True, "maxRetryAfterUs": 500_000},
-        "rules": {"keyQuietUs": 300_000}, "report": {"how": "answers", "fields": ["depth", "concurrent"]},
+        "classes": [
+            {
+                "name": name,
+                "promiseUs": 400_000,
+                "deadlineUs": limit * 1000,
+                "effect": effect,
+                "worth": 1.0,
+                "lateValue": 1.0,
+                **more,
+            }
+            for name, (effect, limit, more) in GROUPS.items()
+        ],
+        "limits": {
+            "maxAttempts": 4,
+            "cancel": True,
+            "dialTimeoutUs": 150_000,
+            "idleCloseUs": 15 * SECOND,
+            "secondCopies": True,
+            "retryAfter": True,
+            "maxRetryAfterUs": 500_000,
+        },
+        "rules": {"keyQuietUs": 300_000},
+        "report": {"how": "answers", "fields": ["depth", "concurrent"]},
         "domain": {"widthByClass": [1] * len(GROUPS), "coresByKind": [8], "costInAnswers": True},
-        "kinds": ["m"], "discovery": "push", "stepUs": 1000, "siblings": 1}
+        "kinds": ["m"],
+        "discovery": "push",
+        "stepUs": 1000,
+        "siblings": 1,
+    }
 
 
 def installed(folder: Path, document: dict[str, Any], log: str = "plain") -> Installation:
     """An operator's file with its document in that folder, read as a gateway reads it."""
     (folder / "document.json").write_bytes(orjson.dumps(document))
-    told = {"version": 1, "document": "document.json", "ledger": "changes.db", "control": "control",
-            "log": log}
+    told = {
+        "version": 1,
+        "document": "document.json",
+        "ledger": "changes.db",
+        "control": "control",
+        "log": log,
+    }
     (folder / "operator.json").write_bytes(orjson.dumps(told))
     return installation(folder / "operator.json")
 
@@ -80,16 +110,30 @@
         self.states[name], self.serial = state, self.serial + 1
 
     def configuration(self, listen: str) -> dict[str, Any]:
-        servers = [{"id": name, "addr": at(self.place(name)), "zone": self.zones.get(name, ZONE), "kind": "m",
-                    "cell": 0, "state": self.states[name], "weight": 1,
-                    "started_ms": self.started_ms.get(name, 0)}
-                   for name in self.engines]
+        servers = [
+            {
+                "id": name,
+                "addr": at(self.place(name)),
+                "zone": self.zones.get(name, ZONE),
+                "kind": "m",
+                "cell": 0,
+                "state": self.states[name],
+                "weight": 1,
+                "started_ms": self.started_ms.get(name, 0),
+            }
+            for name in self.engines
+        ]
         self.names = DatagramServer(("127.0.0.1", 0), self.directory)
         self.names.start()
-        return {"name": "n0", "listen": listen, "seed": "0f", "settings": self.settings,
-                "limits": {"sockets": self.limit, "memory_mb": 192, "cores": 1.0},
-                "names": at(self.names),
-                "known": {"index": 1, "updates": [{"endpoints": {"full": True, "servers": servers}}]}}
+        return {
+            "name": "n0",
+            "listen": listen,
+            "seed": "0f",
+            "settings": self.settings,
+            "limits": {"sockets": self.limit, "memory_mb": 192, "cores": 1.0},
+            "names": at(self.names),
+            "known": {"index": 1, "updates": [{"endpoints": {"full": True, "servers": servers}}]},
+        }
 
     def directory(self, packet: bytes, peer: tuple[str, int]) -> None:
         if self.silent:
--- a/pathturn/wire/clients.py
+++ b/pathturn/wire/clients.py
@@ -48,8 +48,15 @@
 
 
 class Session:
-    def __init__(self, link: socket.socket, facade: Facade, send: Callable[[Dispatch], None],
-                 buffers: Buffers, ready: Callable[[], bool], longest_line: int) -> None:
+    def __init__(
+        self,
+        link: socket.socket,
+        facade: Facade,
+        send: Callable[[Dispatch], None],
+        buffers: Buffers,
+        ready: Callable[[], bool],
+        longest_line: int,
+    ) -> None:
         self.link, self.facade, self.send, self.buffers, self.ready = link, facade, send, buffers, ready
         self.input = Input(link)
         self.writing, self.open, self.answering, self.taken = RLock(), {}, Group(), 0
@@ -253,8 +260,20 @@
         if type(number) is int and (batch := self.open.get(number)) is not None:
             self.facade.leave(batch)
 
-    def batch(self, number: int, group: str, ticket: str, left_us: int, nonce: str | None, key: str | None,
-              customer: str | None, work_us: int, memory_mb: float, repeat: bool, statement: bytes) -> None:
+    def batch(
+        self,
+        number: int,
+        group: str,
+        ticket: str,
+        left_us: int,
+        nonce: str | None,
+        key: str | None,
+        customer: str | None,
+        work_us: int,
+        memory_mb: float,
+        repeat: bool,
+        statement: bytes,
+    ) -> None:
         if len(self.open) >= MOST_OPEN:
             self.fault(number, jsonrpc.TOO_MANY)
             return
@@ -264,8 +283,20 @@
             return
         if key is not None and self.facade.group(group).in_order:
             left_us = min(left_us, max(LEAST_US, left_us - self.facade.row_us(group)))
-        batch = self.facade.take(self, ticket, group, left_us, nonce, key, customer, work_us, memory_mb,
-                                 data_set(statement.decode()), repeat, statement)
+        batch = self.facade.take(
+            self,
+            ticket,
+            group,
+            left_us,
+            nonce,
+            key,
+            customer,
+            work_us,
+            memory_mb,
+            data_set(statement.decode()),
+            repeat,
+            statement,
+        )
         self.open[number] = batch
         self.taken += 1
         self.answering.spawn(self._see_through, number, batch)
--- a/pathturn/wire/directory.py
+++ b/pathturn/wire/directory.py
@@ -15,7 +15,8 @@
 LONGEST_NAME = 255  # as in RFC 1035; bounds what a spoilt answer can make of pointers
 LARGEST_NUMBER = 1 << 53  # of milliseconds or cells; the module counts in whole microseconds
 QUESTION = b"".join(bytes([len(part)]) + part.encode() for part in [*NAME.split("."), ""]) + struct.pack(
-    "!2H", SRV, 1)
+    "!2H", SRV, 1
+)
 STATES = {"in_service": names.READY, "terminating": names.DRAINING, "terminated": names.GONE}
 
 
@@ -37,8 +38,16 @@
             rows.clear()
         for each in endpoints["servers"]:
             state = STATES.get(each["state"], names.GONE)
-            rows[each["id"]] = (each["id"], address(each["addr"]), each["zone"], each["kind"], each["cell"],
-                                state, each.get("weight", 1), each.get("started_ms") or 0)
+            rows[each["id"]] = (
+                each["id"],
+                address(each["addr"]),
+                each["zone"],
+                each["kind"],
+                each["cell"],
+                state,
+                each.get("weight", 1),
+                each.get("started_ms") or 0,
+            )
     return told.get("index", 0), [row for row in rows.values() if row[5] != names.GONE]
 
 
@@ -102,7 +111,7 @@
                 raise Unreadable("pointer")
             told = self.name(to)
         elif size:
-            label, rest = self.packet[at + 1:at + 1 + size].decode(), self.name(at + 1 + size)
+            label, rest = self.packet[at + 1 : at + 1 + size].decode(), self.name(at + 1 + size)
             told = f"{label}.{rest}" if rest else label
         else:
             told = ""
@@ -114,7 +123,7 @@
     def texts(self, at: int, size: int) -> dict[str, str]:
         end, told = at + size, {}
         while at < end:
-            key, _, value = self.packet[at + 1:at + 1 + self.packet[at]].decode().partition("=")
+            key, _, value = self.packet[at + 1 : at + 1 + self.packet[at]].decode().partition("=")
             told[key] = value
             at += self.packet[at] + 1
         return told
@@ -124,7 +133,7 @@
     addresses, texts, targets = {}, {}, []
     for sort, name, at, size in records:
         if sort == A and size == 4:
-            addresses[reader.name(name).lower()] = ".".join(map(str, reader.packet[at:at + 4]))
+            addresses[reader.name(name).lower()] = ".".join(map(str, reader.packet[at : at + 4]))
         elif sort == TXT:
             texts[reader.name(name).lower()] = reader.texts(at, size)
         elif sort == SRV:
@@ -135,6 +144,16 @@
         cell, started = int(told.get("cell", 0)), int(told.get("started", 0))
         if not (0 <= cell < LARGEST_NUMBER and 0 <= started < LARGEST_NUMBER):
             raise Unreadable("number")
-        rows.append((identity, (addresses[target.lower()], port), zone, told["kind"], cell,
-                     names.DRAINING if priority else names.READY, weight / 10, started))
+        rows.append(
+            (
+                identity,
+                (addresses[target.lower()], port),
+                zone,
+                told["kind"],
+                cell,
+                names.DRAINING if priority else names.READY,
+                weight / 10,
+                started,
+            )
+        )
     return rows
--- a/pathturn/wire/door.py
+++ b/pathturn/wire/door.py
@@ -14,8 +14,12 @@
     that comes after up to a hundred more have been accepted, on descriptors that are lent to others or to
     nobody."""
 
-    def __init__(self, address: tuple[str, int], admit: Callable[[socket.socket, Any], Any],
-                 serve: Callable[[Any, Any], None]) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        admit: Callable[[socket.socket, Any], Any],
+        serve: Callable[[Any, Any], None],
+    ) -> None:
         """`admit` gives what is to be served, or None for no room; `serve` gets that in a greenlet of its
         own."""
         super().__init__(address, serve, backlog=1024)
--- a/pathturn/wire/engines.py
+++ b/pathturn/wire/engines.py
@@ -26,8 +26,14 @@
 
 
 class Engines:
-    def __init__(self, facade: Facade, pools: Pools, clock: Callable[[], int], report_fields: list[str],
-                 copies_allowed: bool) -> None:
+    def __init__(
+        self,
+        facade: Facade,
+        pools: Pools,
+        clock: Callable[[], int],
+        report_fields: list[str],
+        copies_allowed: bool,
+    ) -> None:
         self.facade, self.pools, self.clock = facade, pools, clock
         self.report_fields, self.copies_allowed = report_fields, copies_allowed
 
@@ -115,8 +121,10 @@
                 resolved_by = "unlisted"
                 break
             gevent.sleep(CONFIRM_AGAIN_S if reply is GiveUpReply.CONFIRMED else ASK_AGAIN_S)
-        self.facade.log_line(f"attempt {dispatch.batch.ticket} resolved by={resolved_by} "
-                             f"after_ms={(self.clock() - began_us) // 1000}")
+        self.facade.log_line(
+            f"attempt {dispatch.batch.ticket} resolved by={resolved_by} "
+            f"after_ms={(self.clock() - began_us) // 1000}"
+        )
 
     def _left_s(self, dispatch: Dispatch) -> float:
         return max(0, dispatch.until_us - self.clock()) / 1e6
@@ -131,9 +139,18 @@
             self._done(exchange, names.UNSENT)
             return
         exchange.begun = True
-        pages, (status, fields, body) = exchange.start(warehouse.start(
-            exchange.line.host, batch.ticket, batch.group, dispatch.until_us - self.clock(), batch.nonce,
-            batch.grant_mb, batch.priority, batch.statement))
+        pages, (status, fields, body) = exchange.start(
+            warehouse.start(
+                exchange.line.host,
+                batch.ticket,
+                batch.group,
+                dispatch.until_us - self.clock(),
+                batch.nonce,
+                batch.grant_mb,
+                batch.priority,
+                batch.statement,
+            )
+        )
         while status == 202:
             if (told := warehouse.note(fields)) is not None:
                 self.facade.note(dispatch, *told)
@@ -155,14 +172,25 @@
         whole = b"".join(rows)
         return whole if len(whole) <= warehouse.LARGEST_RESULT else None
 
-    def _done(self, exchange: Exchange, outcome: str, ended: int = 0, fields: dict[str, str] | None = None,
-              rows: bytes = b"") -> None:
+    def _done(
+        self,
+        exchange: Exchange,
+        outcome: str,
+        ended: int = 0,
+        fields: dict[str, str] | None = None,
+        rows: bytes = b"",
+    ) -> None:
         told = fields or {}
         exchange.dispatch.stop = exchange.dispatch.rerank = None
-        self.facade.report(exchange.dispatch, outcome, ended or self.clock(),
-                           round(warehouse.number(told, "x-cost-ms") * 1000),
-                           warehouse.number(told, "x-needed-mb"),
-                           warehouse.meter(told, self.report_fields), rows)
+        self.facade.report(
+            exchange.dispatch,
+            outcome,
+            ended or self.clock(),
+            round(warehouse.number(told, "x-cost-ms") * 1000),
+            warehouse.number(told, "x-needed-mb"),
+            warehouse.meter(told, self.report_fields),
+            rows,
+        )
 
     def _give_up(self, dispatch: Dispatch, new: bool = False) -> GiveUpReply:
         return self._aside(dispatch, warehouse.give_up, new)
@@ -170,15 +198,17 @@
     def _rerank(self, dispatch: Dispatch, priority: int) -> None:
         self._aside(dispatch, lambda host, ticket: warehouse.rank(host, ticket, priority))
 
-    def _aside(self, dispatch: Dispatch, request: Callable[[str, str], bytes],
-               new: bool = False) -> GiveUpReply:
+    def _aside(
+        self, dispatch: Dispatch, request: Callable[[str, str], bytes], new: bool = False
+    ) -> GiveUpReply:
         """A call beside the one that asks for news, on a new connection where that is wanted."""
         exchange = Exchange(dispatch, self.pools)
         try:
             with gevent.Timeout(self.pools.dial_s, TimeUp):
                 exchange.line = self.pools.borrow(dispatch.place, new)
-                status = exchange.line.tell(request(exchange.line.host, dispatch.batch.ticket),
-                                            exchange.patience_s)
+                status = exchange.line.tell(
+                    request(exchange.line.host, dispatch.batch.ticket), exchange.patience_s
+                )
             exchange.end()
         except Unreachable as fault:
             return GiveUpReply.REFUSED if fault.refused else GiveUpReply.SILENT
--- a/pathturn/wire/exchange.py
+++ b/pathturn/wire/exchange.py
@@ -101,7 +101,7 @@
             try:
                 if self.line is None:
                     # Not all at once: an engine that has just been started anew resets many at a time.
-                    gevent.sleep(PAUSE_S * 2 ** tries)
+                    gevent.sleep(PAUSE_S * 2**tries)
                     self.line = self.pools.borrow(self.dispatch.place, new=True)
                 return self._once(warehouse.page(self.line.host, self.dispatch.batch.ticket, number), check)
             except Unreachable as fault:
--- a/pathturn/wire/http.py
+++ b/pathturn/wire/http.py
@@ -88,8 +88,9 @@
         self.whole, self.keeps = True, self.keeps and self.parser.should_keep_alive()
 
 
-def call(verb: str, path: str, host: str, fields: Iterable[tuple[str, object]] = (),
-         body: bytes = b"") -> bytes:
+def call(
+    verb: str, path: str, host: str, fields: Iterable[tuple[str, object]] = (), body: bytes = b""
+) -> bytes:
     lines = [f"{verb} {path} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in fields if value is not None]
     if body or verb in ("POST", "PUT"):
--- a/pathturn/wire/jsonrpc.py
+++ b/pathturn/wire/jsonrpc.py
@@ -95,8 +95,17 @@
     statement = b64decode(params["data"], validate=True)
     if not statement.decode().strip():
         raise ValueError("data")
-    return (params["trace"], left_us, nonce, key, customer, work_us, memory_mb, params.get("redo") is True,
-            statement)
+    return (
+        params["trace"],
+        left_us,
+        nonce,
+        key,
+        customer,
+        work_us,
+        memory_mb,
+        params.get("redo") is True,
+        statement,
+    )
 
 
 def _figure(value: float) -> float:
--- a/pathturn/wire/lookup.py
+++ b/pathturn/wire/lookup.py
@@ -20,8 +20,9 @@
 
 
 class Lookup:
-    def __init__(self, facade: Facade, asks: bool, last: int, changed: Callable[[], None],
-                 log: Callable[[str], None]) -> None:
+    def __init__(
+        self, facade: Facade, asks: bool, last: int, changed: Callable[[], None], log: Callable[[str], None]
+    ) -> None:
         self.facade, self.asks, self.changed, self.log = facade, asks, changed, log
         self.last, self.number, self.raw = last, 0, b""
         self.following: gevent.Greenlet | None = None
--- a/pathturn/wire/statement.py
+++ b/pathturn/wire/statement.py
@@ -8,7 +8,8 @@
       | (?P<quoted>"(?:[^"]|"")*(?:"|\Z)|`[^`]*(?:`|\Z)|\[[A-Za-z_]\w*\])
       | (?P<word>[^\W\d]\w*)
       | (?P<other>\d[\w.]*|(?:[^\w\s'"`\[$/\#.-]|/(?!\*)|-(?!-))+|.)""",
-    re.VERBOSE | re.DOTALL)
+    re.VERBOSE | re.DOTALL,
+)
 NUMBERED = re.compile(r"_(\d+)\Z")
 OPENERS = frozenset({"from", "join", "into", "update", "table", "using", "copy", "truncate"})
 SEPARATE = frozenset({"staging"})
--- a/pathturn/wire/warehouse.py
+++ b/pathturn/wire/warehouse.py
@@ -11,8 +11,14 @@
 
 NOTES = {"done": names.PROGRESS, "spills": names.SPILLS, "waits": names.WAITS}
 # What a meter may call a load value that the settings name otherwise.
-METERS = {"concurrent": "inflight", "depth": "queue", "load_share": "util", "mean_ms": "latency_ms",
-          "tps": "qps", "err_ps": "eps"}
+METERS = {
+    "concurrent": "inflight",
+    "depth": "queue",
+    "load_share": "util",
+    "mean_ms": "latency_ms",
+    "tps": "qps",
+    "err_ps": "eps",
+}
 # The protocol's figures: a query not asked for that long has ended; its news comes within the other.
 FORGOTTEN_US, NEWS_US = 2_000_000, 250_000
 LARGEST_RESULT = 48_000  # the protocol's figure
@@ -24,10 +30,24 @@
 GIVEN_UP = 204  # the one answer that says that a give-up or a new priority was taken
 
 
-def start(host: str, ticket: str, group: str, wait_us: int, nonce: str | None, grant_mb: float,
-          priority: int, statement: bytes) -> bytes:
-    fields = (("X-Ticket", ticket), ("X-Queue", group), ("X-Max-Ms", max(1, wait_us // 1000)),
-              ("X-Nonce", nonce), ("X-Memory-Mb", round(grant_mb) or None), ("X-Priority", priority))
+def start(
+    host: str,
+    ticket: str,
+    group: str,
+    wait_us: int,
+    nonce: str | None,
+    grant_mb: float,
+    priority: int,
+    statement: bytes,
+) -> bytes:
+    fields = (
+        ("X-Ticket", ticket),
+        ("X-Queue", group),
+        ("X-Max-Ms", max(1, wait_us // 1000)),
+        ("X-Nonce", nonce),
+        ("X-Memory-Mb", round(grant_mb) or None),
+        ("X-Priority", priority),
+    )
     return call("POST", "/data", host, fields, statement)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -40,10 +40,25 @@
 
     def __init__(self) -> None:
         self.settings = {
-            "seed": 7, "instance": 0, "gateways": 1, "cores": {"m": 8, "n": 8},
-            "grants": False, "pages": False, "note_us": 0, "report_fields": [],
-            "probes": False, "ask_list": False, "max_dispatches": 4, "may_cancel": True, "retry_us": 0,
-            "step_us": 1000, "cold": (1.0, 0, 0.0, 0), "key_rest_us": 0, "budget": None, "costs": False}
+            "seed": 7,
+            "instance": 0,
+            "gateways": 1,
+            "cores": {"m": 8, "n": 8},
+            "grants": False,
+            "pages": False,
+            "note_us": 0,
+            "report_fields": [],
+            "probes": False,
+            "ask_list": False,
+            "max_dispatches": 4,
+            "may_cancel": True,
+            "retry_us": 0,
+            "step_us": 1000,
+            "cold": (1.0, 0, 0.0, 0),
+            "key_rest_us": 0,
+            "budget": None,
+            "costs": False,
+        }
         self.gateway, self.now = None, 0
         self.flying, self.sent, self.groups, self.batches, self.calls = {}, {}, [], [], []
         self.courses = {}
@@ -102,9 +117,16 @@
         self.settings[word] = values if not parsed else tuple(parsed) if len(parsed) > 1 else parsed[0]
 
     def group(self, kind, **told):
-        told = {key: frozenset(value.split(",")) if key in ("zones", "machines") else
-                value if key == "repeat_scope" else float(value) if "util" in key else int(value)
-                for key, value in told.items()}
+        told = {
+            key: frozenset(value.split(","))
+            if key in ("zones", "machines")
+            else value
+            if key == "repeat_scope"
+            else float(value)
+            if "util" in key
+            else int(value)
+            for key, value in told.items()
+        }
         base = {"goal_us": SECOND, "goal_stretch": 2.0, "limit_us": 10 * SECOND, "utility": 1.0}
         self.groups.append(names.ServiceGroup(**{**base, "late_utility": 1.0, "kind": KINDS[kind], **told}))
 
@@ -119,16 +141,35 @@
     def course(self, name, *engines, **limits):
         pool = LivePool(name, Pool())
         pool.reach = frozenset(map(int, engines))
-        told = {key: units.READERS[Rate](value) if key == "rate" else float(value) if key == "further" else
-                int(value) for key, value in limits.items()}
+        told = {
+            key: units.READERS[Rate](value)
+            if key == "rate"
+            else float(value)
+            if key == "further"
+            else int(value)
+            for key, value in limits.items()
+        }
         quotas = (Quota(Limit(name, route=name, **told), Meter()),) if told else ()
         self.courses[name] = Course(1, name, pool, quotas)
 
     def batch(self, name, group="0", key="-", left="10000", work="100", data_set="0", course=None):
         self.batches.append(name)
         key = None if key == "-" else key
-        self.round(("batch", self.number(name), int(group), None, key, int(left) * 1000, int(work) * 1000, 0,
-                    int(data_set), False, self.courses.get(course)))
+        self.round(
+            (
+                "batch",
+                self.number(name),
+                int(group),
+                None,
+                key,
+                int(left) * 1000,
+                int(work) * 1000,
+                0,
+                int(data_set),
+                False,
+                self.courses.get(course),
+            )
+        )
 
     def moved(self, name, course):
         self.round(("moved", self.number(name), self.courses[course]))
@@ -258,8 +299,13 @@
         self.raw(orjson.dumps({"jsonrpc": "2.0", **message}).decode())
 
     def call(self, number, group, patience="1000", key=None, nonce=None):
-        params = {"trace": f"{int(number):016x}", "patience": int(patience), "weight": 100, "est_mb": 1,
-                  "data": b64encode(b"SELECT 1 FROM sales_3.orders").decode()}
+        params = {
+            "trace": f"{int(number):016x}",
+            "patience": int(patience),
+            "weight": 100,
+            "est_mb": 1,
+            "data": b64encode(b"SELECT 1 FROM sales_3.orders").decode(),
+        }
         if group in ("load", "book", "sum"):
             # As a client's last of a row says it: so much of its patience went by before it was written.
             row_ms = self.gateway_row_us(group) // 1000
@@ -315,15 +361,20 @@
 
     def apart(self, *groups):
         """No two batches of these groups ran at once at any engine; a scenario gives them one key."""
-        runs = sorted((begin, end, ticket, name) for name, engine in self.engines.items()
-                      for ticket, (group, begin, end) in engine.runs.items() if group in groups)
+        runs = sorted(
+            (begin, end, ticket, name)
+            for name, engine in self.engines.items()
+            for ticket, (group, begin, end) in engine.runs.items()
+            if group in groups
+        )
         for (_, end, *before), (begin, _, *after) in combinations(runs, 2):
             assert end <= begin or before[0] == after[0], f"{before} ran until {end}, {after} from {begin}"
 
     def rested(self, group, milliseconds):
         """That long between the end of that group's first query and the beginning of its last."""
-        runs = sorted(run[1:] for engine in self.engines.values() for run in engine.runs.values()
-                      if run[0] == group)
+        runs = sorted(
+            run[1:] for engine in self.engines.values() for run in engine.runs.values() if run[0] == group
+        )
         assert runs[-1][0] - runs[0][1] >= int(milliseconds) / 1000, f"rested {runs[-1][0] - runs[0][1]}"
 
     def stale_list(self, serial):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -67,7 +67,8 @@
     parts = [part.strip() for part in line.split(SEPARATOR)]
     if not all(parts) or len(parts) not in (3, 4):
         raise MalformedLineError(
-            number, f"neither `test | cause | issue` nor `command | seed | what was seen | issue`: {line}")
+            number, f"neither `test | cause | issue` nor `command | seed | what was seen | issue`: {line}"
+        )
     if not ISSUE.fullmatch(parts[-1]):
         raise MalformedLineError(number, f"the issue is no number: {parts[-1]}")
     if len(parts) == 3:
@@ -97,8 +98,9 @@
         self.entries = entries
         self.tests = {each.test: each for each in entries if isinstance(each, RedTest)}
 
-    def pytest_collection_modifyitems(self, session: pytest.Session, config: pytest.Config,
-                                      items: list[pytest.Item]) -> None:
+    def pytest_collection_modifyitems(
+        self, session: pytest.Session, config: pytest.Config, items: list[pytest.Item]
+    ) -> None:
         collected = {item.nodeid: item for item in items}
         for test, entry in self.tests.items():
             if test in collected:
--- a/tests/test_attempt_proof.py
+++ b/tests/test_attempt_proof.py
@@ -98,7 +98,8 @@
     `ConnectionRefusedError gone=True`, proven 1 ms later; 734842dfa9a0e223 of the same key was sent 0.415 s
     after that, and the bench judged "still had an attempt out"."""
     draining, _ = send_two_of_a_key(
-        rig, service_class, ResettingNetwork, lambda name: rig.engines[name].posted)
+        rig, service_class, ResettingNetwork, lambda name: rig.engines[name].posted
+    )
     gevent.sleep(0.2)
     rig.straits[draining].reset_and_refuse()
     rig.returned(2, within=6000)
@@ -153,7 +154,8 @@
     give-up on another connection behind it. Once awake it may read the give-up first and the start 50 ms
     later; that answer was taken for the proof, and the next of the key was sent beside the query."""
     stalled, other = send_two_of_a_key(
-        rig, service_class, StalledEngine, lambda name: rig.straits[name].connections)
+        rig, service_class, StalledEngine, lambda name: rig.straits[name].connections
+    )
     rig.straits[other].wake()
     gevent.sleep(3)
     rig.straits[stalled].wake()
@@ -218,21 +220,29 @@
 LATEST_US = 1_000_000
 
 
-@pytest.mark.parametrize(("answered", "replies", "proven_at"), [
-    pytest.param(True, [(CONFIRMED, 10)], 10, id="start answered, confirmed"),
-    pytest.param(True, [(SILENT, 10), (SILENT, 9000)], None, id="silence"),
-    pytest.param(True, [(REFUSED, 10), (REFUSED, 2259)], None, id="refused, not for long enough"),
-    pytest.param(True, [(REFUSED, 10), (REFUSED, 2260)], 2260, id="refused for long enough"),
-    pytest.param(True, [(REFUSED, 10), (SILENT, 1000), (REFUSED, 2300)], None,
-                 id="refused, out of reach between"),
-    pytest.param(False, [(CONFIRMED, 2000)], None, id="start not answered, confirmed once"),
-    pytest.param(False, [(CONFIRMED, 2000), (CONFIRMED, 2249)], None, id="confirmed twice, too soon"),
-    pytest.param(False, [(CONFIRMED, 2000), (CONFIRMED, 2250)], 2250, id="confirmed twice"),
-    pytest.param(False, [(CONFIRMED, 10), (CONFIRMED, 999)], None, id="confirmed while the start may come"),
-    pytest.param(False, [(CONFIRMED, 10), (CONFIRMED, 1000)], 1000, id="confirmed once it cannot come"),
-    pytest.param(False, [(CONFIRMED, 2000), (SILENT, 2100), (CONFIRMED, 2300)], None, id="silent between"),
-    pytest.param(False, [(CONFIRMED, 2000), (REFUSED, 2250)], None, id="confirmed, then refused"),
-])
+@pytest.mark.parametrize(
+    ("answered", "replies", "proven_at"),
+    [
+        pytest.param(True, [(CONFIRMED, 10)], 10, id="start answered, confirmed"),
+        pytest.param(True, [(SILENT, 10), (SILENT, 9000)], None, id="silence"),
+        pytest.param(True, [(REFUSED, 10), (REFUSED, 2259)], None, id="refused, not for long enough"),
+        pytest.param(True, [(REFUSED, 10), (REFUSED, 2260)], 2260, id="refused for long enough"),
+        pytest.param(
+            True, [(REFUSED, 10), (SILENT, 1000), (REFUSED, 2300)], None, id="refused, out of reach between"
+        ),
+        pytest.param(False, [(CONFIRMED, 2000)], None, id="start not answered, confirmed once"),
+        pytest.param(False, [(CONFIRMED, 2000), (CONFIRMED, 2249)], None, id="confirmed twice, too soon"),
+        pytest.param(False, [(CONFIRMED, 2000), (CONFIRMED, 2250)], 2250, id="confirmed twice"),
+        pytest.param(
+            False, [(CONFIRMED, 10), (CONFIRMED, 999)], None, id="confirmed while the start may come"
+        ),
+        pytest.param(False, [(CONFIRMED, 10), (CONFIRMED, 1000)], 1000, id="confirmed once it cannot come"),
+        pytest.param(
+            False, [(CONFIRMED, 2000), (SILENT, 2100), (CONFIRMED, 2300)], None, id="silent between"
+        ),
+        pytest.param(False, [(CONFIRMED, 2000), (REFUSED, 2250)], None, id="confirmed, then refused"),
+    ],
+)
 def test_proof_of_an_end(answered, replies, proven_at) -> None:
     proof = EndProof(answered, 0 if answered else LATEST_US)
     heard = [(proof.hear(reply, at_ms * 1000), at_ms) for reply, at_ms in replies]
--- a/tests/test_client_edges.py
+++ b/tests/test_client_edges.py
@@ -36,9 +36,13 @@
 
 def session_of(rig, client) -> Session:
     """The gateway's side of a client's connection, once it is there."""
+
     def found() -> list[Session]:
-        return [each for each in rig.gateway.sessions.held
-                if not each.link.closed and each.link.getpeername() == client.getsockname()]
+        return [
+            each
+            for each in rig.gateway.sessions.held
+            if not each.link.closed and each.link.getpeername() == client.getsockname()
+        ]
 
     until(found)
     return found()[0]
@@ -73,6 +77,7 @@
 
 # A request that crosses the end of its connection.
 
+
 def test_a_request_that_crosses_the_idle_limit_is_not_forwarded_and_resets_nothing(rig, monkeypatch) -> None:
     """It is written between the look at the socket and the end of the gateway's side."""
     rig.engine("e")
@@ -98,7 +103,8 @@
 
 
 def test_a_first_request_that_crosses_the_end_of_a_silent_connection_is_not_forwarded(
-        rig, monkeypatch) -> None:
+    rig, monkeypatch
+) -> None:
     rig.engine("e")
     rig.start()
     client = socket.create_connection(rig.listen)
@@ -136,7 +142,8 @@
 
 
 def test_a_request_that_crosses_the_end_at_a_stop_is_not_forwarded_and_resets_nothing(
-        rig, monkeypatch) -> None:
+    rig, monkeypatch
+) -> None:
     """It is written once the gateway has found that nothing is owed, before it ends its side."""
     monkeypatch.setattr(gateway_module, "STILL_COMING_S", 0.05)
     rig.engine("e")
@@ -180,6 +187,7 @@
 
 # Nothing waits in the system for more.
 
+
 def test_nodelay_is_set_on_every_connection_before_the_first_write(rig, monkeypatch) -> None:
     """From clients and to engines: starts, pages, give-ups, answers and errors."""
     rig.engine("e", "rows:3", "torn:2", "runs:5000", "rows:1")
@@ -241,8 +249,9 @@
 def poured(rig, lines: bytes):
     """A client in a process of its own writes these again and again and reads what comes back; where it is
     ended it connects anew."""
-    running = subprocess.Popen([sys.executable, "-c", FLOOD, str(rig.listen[1])], stdin=subprocess.PIPE,
-                               stdout=subprocess.PIPE)
+    running = subprocess.Popen(
+        [sys.executable, "-c", FLOOD, str(rig.listen[1])], stdin=subprocess.PIPE, stdout=subprocess.PIPE
+    )
     try:
         running.stdin.write(lines)
         running.stdin.close()
@@ -274,9 +283,14 @@
         return self
 
 
-FLOODS = {"pings": b"".join(PING % number for number in range(1, 2000)), "ends": b"\n" * 65_536,
-          "ids": b'{"id":1}\n' * 7000, "aborts": b'{"id":1,"method":"abort"}\n' * 2500,
-          "requests": b"".join(line(number) for number in range(1, 500)), "half": b"a" * 8000}
+FLOODS = {
+    "pings": b"".join(PING % number for number in range(1, 2000)),
+    "ends": b"\n" * 65_536,
+    "ids": b'{"id":1}\n' * 7000,
+    "aborts": b'{"id":1,"method":"abort"}\n' * 2500,
+    "requests": b"".join(line(number) for number in range(1, 500)),
+    "half": b"a" * 8000,
+}
 
 
 def until_served(rig) -> None:
@@ -361,7 +375,8 @@
 
 
 def test_a_crowd_that_pushes_out_served_connections_takes_no_descriptor_lent_to_others(
-        rig, monkeypatch) -> None:
+    rig, monkeypatch
+) -> None:
     """The first crowd's readers wait in their sockets by then: gevent closes such a socket only in a later
     turn, and up to a hundred more are accepted in this one."""
     rig.sockets(64)
@@ -439,6 +454,7 @@
 
 # Slow clients.
 
+
 def test_a_request_written_one_byte_at_a_time_is_served(rig) -> None:
     rig.engine("e")
     rig.start()
@@ -472,6 +488,7 @@
 
 # A client that left while its request waits.
 
+
 def test_nothing_begins_for_a_client_that_left_while_its_request_waited_for_its_key(rig) -> None:
     """The first of the key runs; the second's client leaves in the turn in which the first ends."""
     rig.engine("e", "runs:200")
@@ -520,7 +537,8 @@
 
 @pytest.mark.parametrize("same_turn", [False, True])
 def test_nothing_begins_for_a_client_that_left_while_its_request_waited_for_a_free_connection(
-        rig, same_turn) -> None:
+    rig, same_turn
+) -> None:
     """The only connection to engines becomes free after its client left, or in the same turn."""
     rig.sockets(60)
     assert shares(60)[1] == 1
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -80,6 +80,7 @@
 
 # A client that leaves is heard at once.
 
+
 @pytest.mark.parametrize("torn", [False, True])
 def test_a_client_that_sends_much_at_once_and_goes_has_nothing_begun_for_it(rig, torn) -> None:
     """Its reader rests between pieces, since so much is asked for; the end lies behind them."""
@@ -186,6 +187,7 @@
 
 # What comes late on a connection to an engine is no answer to the next call.
 
+
 class Copier:
     """An engine that sends a second copy of its first answer on the same connection some milliseconds later,
     and answers no other call there before; and each batch has rows of its own. `later`: the first answer is
@@ -211,8 +213,13 @@
         self.send(link, 200, fields, own_rows(int(ticket, 16)), twice=not self.later)
 
     def send(self, link, status, fields, body, twice):
-        head = [f"HTTP/1.1 {status} said", *(f"{name}: {value}" for name, value in fields),
-                f"Content-Length: {len(body)}", "", ""]
+        head = [
+            f"HTTP/1.1 {status} said",
+            *(f"{name}: {value}" for name, value in fields),
+            f"Content-Length: {len(body)}",
+            "",
+            "",
+        ]
         whole = "\r\n".join(head).encode() + body
         link.sendall(whole)
         if twice:
@@ -284,6 +291,7 @@
 
 # A start that is late.
 
+
 class Late:
     """The way to an engine on which what the first connection carries comes late, whatever becomes of it: it
     is on the wire already. Other connections are as quick as ever."""
@@ -328,6 +336,7 @@
 
 # A connection that gives way loses nothing that was written on it.
 
+
 def test_a_batch_that_crosses_giving_way_does_not_take_the_answer_before_it(rig, monkeypatch) -> None:
     """Between the look at its socket and the end a batch arrives; closed over that, the connection would be
     reset, and the answer that its client has not read yet be gone."""
@@ -375,6 +384,7 @@
 
 # Descriptors are short, and the directory is down.
 
+
 def test_a_crowd_accepted_at_once_takes_no_descriptor_that_is_lent_to_others(rig, monkeypatch) -> None:
     rig.sockets(64)
     rig.engine("e")
@@ -437,6 +447,7 @@
 
 # A list that goes quiet, or tells something while a dispatch waits.
 
+
 def test_a_drain_told_while_a_dispatch_waits_for_its_connection_is_kept(rig, monkeypatch) -> None:
     """A once-only batch: what never began may go elsewhere."""
     rig.engine("e")
@@ -445,7 +456,7 @@
     dials = held_dials(rig, monkeypatch, once=True)
     rig.call(1, "pay", patience=1400)
     until(lambda: dials)
-    (name, dial), = dials.items()
+    ((name, dial),) = dials.items()
     rig.change(name, "draining")
     until(lambda: len(rig.gateway.facade.roster.ready) == 1)
     dial.go.set()
@@ -455,7 +466,8 @@
 
 
 def test_a_dial_that_comes_up_after_its_time_carries_nothing_and_the_batch_goes_elsewhere_once(
-        rig, monkeypatch) -> None:
+    rig, monkeypatch
+) -> None:
     rig.engine("e")
     rig.engine("f")
     rig.start()
@@ -493,6 +505,7 @@
     rig.idle()
     old.server.stop(0)
 
+
 def test_a_directory_answer_that_is_lost_does_not_hold_up_the_next(rig, monkeypatch) -> None:
     rig.engine("e")
     rig.engine("f")
@@ -556,14 +569,27 @@
 
 # One customer's settings for another's.
 
+
 def test_two_gateways_with_different_settings_side_by_side_keep_to_their_own() -> None:
     """In one process, one after the other and at the same time: the kind, limit, name and rest of a group."""
     other = farm.settings()
-    other["classes"] = [{"name": "peek", "promiseUs": 300_000, "deadlineUs": 900_000, "effect": "fragile",
-                         "worth": 2.0, "lateValue": 0.5}]
+    other["classes"] = [
+        {
+            "name": "peek",
+            "promiseUs": 300_000,
+            "deadlineUs": 900_000,
+            "effect": "fragile",
+            "worth": 2.0,
+            "lateValue": 0.5,
+        }
+    ]
     other["limits"] |= {"maxAttempts": 2, "retryAfter": False, "secondCopies": False, "cancel": False}
-    other["rules"] = {"keyQuietUs": 90_000, "budgetSpanUs": 1_000_000, "freeResends": 1,
-                      "extraPerRequest": 0.1}
+    other["rules"] = {
+        "keyQuietUs": 90_000,
+        "budgetSpanUs": 1_000_000,
+        "freeResends": 1,
+        "extraPerRequest": 0.1,
+    }
     first, groups = build(1, farm.settings())
     second, fewer = build(1, other)
     third, again = build(1, farm.settings())
@@ -574,8 +600,11 @@
 
     assert [told(one) for one in (first, third)] == [(4, True, 500_000, 300_000)] * 2
     assert told(second) == (2, False, 0, 90_000)
-    shared = [name for name, value in vars(first).items() if isinstance(value, (dict, list, set))
-              and value is getattr(second, name)]
+    shared = [
+        name
+        for name, value in vars(first).items()
+        if isinstance(value, (dict, list, set)) and value is getattr(second, name)
+    ]
     assert shared == []
 
 
@@ -611,12 +640,25 @@
 def test_a_gateway_is_ready_at_once_though_neither_directory_nor_engines_can_be_reached() -> None:
     site_settings = farm.settings()
     listen = farm.spare_address()
-    told = {"name": "n0", "listen": "{}:{}".format(*listen), "seed": "0f", "settings": site_settings,
-            "limits": {"sockets": 256, "memory_mb": 64, "cores": 0.25}, "names": "127.0.0.1:1",
-            "known": {"index": 0, "updates": []}}
-    running = subprocess.Popen([sys.executable, "-c", "import sys; from pathlib import Path; "
-                                "from pathturn.process.start import serve; serve(Path('/dev/stdin'), None)"],
-                               stdin=subprocess.PIPE, stderr=subprocess.DEVNULL)
+    told = {
+        "name": "n0",
+        "listen": "{}:{}".format(*listen),
+        "seed": "0f",
+        "settings": site_settings,
+        "limits": {"sockets": 256, "memory_mb": 64, "cores": 0.25},
+        "names": "127.0.0.1:1",
+        "known": {"index": 0, "updates": []},
+    }
+    running = subprocess.Popen(
+        [
+            sys.executable,
+            "-c",
+            "import sys; from pathlib import Path; "
+            "from pathturn.process.start import serve; serve(Path('/dev/stdin'), None)",
+        ],
+        stdin=subprocess.PIPE,
+        stderr=subprocess.DEVNULL,
+    )
     try:
         running.stdin.write(orjson.dumps(told))
         running.stdin.close()
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,15 +11,22 @@
 LEAST, COLD_US, MULTIPLE, FALL_US, CORES = 0.33, 14 * SECOND, 3.0, SECOND, 8
 
 
-@pytest.mark.parametrize(("start", "told"), [
-    (5 * SECOND, 5 * SECOND), (1_796_160_477_123_000, 1_796_160_477_123_000),
-    # It came up anew and the list does not tell: dials were refused, and the list still has an old start.
-    (1_796_160_477_123_000, 1_796_160_377_123_000)])
+@pytest.mark.parametrize(
+    ("start", "told"),
+    [
+        (5 * SECOND, 5 * SECOND),
+        (1_796_160_477_123_000, 1_796_160_477_123_000),
+        # It came up anew and the list does not tell: dials were refused, and the list still has an old start.
+        (1_796_160_477_123_000, 1_796_160_377_123_000),
+    ],
+)
 @pytest.mark.parametrize("gateways", [1, 3, 20, 30, 60, 200, 230, 1024])
 def test_a_cold_engine_is_pushed_over_by_no_fleet_and_used_by_all(gateways, start, told) -> None:
     usual, sent, senders = 225_000, [], set()
-    guards = [ColdGuard(LEAST, COLD_US, MULTIPLE, FALL_US, gateways, (7, number), 600_000)
-              for number in range(gateways)]
+    guards = [
+        ColdGuard(LEAST, COLD_US, MULTIPLE, FALL_US, gateways, (7, number), 600_000)
+        for number in range(gateways)
+    ]
     crowd = [(guard, Engine(0, 1, 0, 0)) for guard in guards]
     for number, (guard, engine) in enumerate(crowd):
         guard.from_us, engine.cores, engine.started = start + SECOND, CORES, told
@@ -43,8 +50,10 @@
     """A fleet whose gateways always have something to send to one cold engine: the mean of the calls of mean
     work a window gets, and the worst window as a part of what the operators put down to chance."""
     start, chance = 5 * SECOND, Random(draw)
-    guards = [ColdGuard(LEAST, COLD_US, MULTIPLE, FALL_US, gateways, (chance.random(), number), 600_000)
-              for number in range(gateways)]
+    guards = [
+        ColdGuard(LEAST, COLD_US, MULTIPLE, FALL_US, gateways, (chance.random(), number), 600_000)
+        for number in range(gateways)
+    ]
     sent = []
     for guard in guards:
         guard.from_us, engine = start, Engine(0, 1, 0, 0)
--- a/tests/test_corners.py
+++ b/tests/test_corners.py
@@ -33,9 +33,16 @@
         self.now = end
 
     def listing(self, engines: range, zones: int, started: int = 0) -> None:
-        self.round(("listing", names.WHOLE, [
-            (each, f"z{each % zones}" if zones else "", "m", each // 4, names.READY, 1, started)
-            for each in engines]))
+        self.round(
+            (
+                "listing",
+                names.WHOLE,
+                [
+                    (each, f"z{each % zones}" if zones else "", "m", each // 4, names.READY, 1, started)
+                    for each in engines
+                ],
+            )
+        )
 
     def batch(self, group: int, left_us: int = SECOND) -> int:
         number = next(self.numbers)
@@ -144,9 +151,12 @@
 
 
 def test_an_id_told_twice_counts_as_it_was_told_last() -> None:
-    rows = [{"id": "e", "addr": f"127.0.0.1:{port}", "zone": "z", "kind": "m", "cell": 0,
-             "state": "in_service"} for port in (1, 2)]
+    rows = [
+        {"id": "e", "addr": f"127.0.0.1:{port}", "zone": "z", "kind": "m", "cell": 0, "state": "in_service"}
+        for port in (1, 2)
+    ]
     twice = [{**rows[0], "id": "f"}, {**rows[0], "id": "g"}]
-    _, known = directory.known({"index": 4, "updates": [{"endpoints": {"full": True,
-                                                                       "servers": [*rows, *twice]}}]})
+    _, known = directory.known(
+        {"index": 4, "updates": [{"endpoints": {"full": True, "servers": [*rows, *twice]}}]}
+    )
     assert [(row[0], row[1][1]) for row in known] == [("e", 2), ("f", 1), ("g", 1)]
--- a/tests/test_engine_edges.py
+++ b/tests/test_engine_edges.py
@@ -50,8 +50,13 @@
 
 
 def written(status, fields, body) -> bytes:
-    head = [f"HTTP/1.1 {status} said", *(f"{name}: {value}" for name, value in fields),
-            f"Content-Length: {len(body)}", "", ""]
+    head = [
+        f"HTTP/1.1 {status} said",
+        *(f"{name}: {value}" for name, value in fields),
+        f"Content-Length: {len(body)}",
+        "",
+        "",
+    ]
     return "\r\n".join(head).encode() + body
 
 
@@ -65,6 +70,7 @@
 
 # Point 1: half an answer behind a whole one.
 
+
 class Behind:
     """An engine that remembers the connection of its last answer, and sends `more` in one segment with each
     answer that `picks` chooses."""
@@ -141,7 +147,8 @@
 @pytest.mark.parametrize("word", ["rows:2", "runs:120"])
 @pytest.mark.parametrize("half", HALVES)
 def test_half_an_answer_that_crosses_the_next_start_is_not_taken_for_its_answer(
-        rig, monkeypatch, half, word) -> None:
+    rig, monkeypatch, half, word
+) -> None:
     """It comes after the look at the connection, and is glued to the answer that follows."""
     rig.engine("e", "rows:1", word)
     behind = Behind(rig.engines["e"])
@@ -158,6 +165,7 @@
 
 # Point 2: answers that break off, never end, or come twice.
 
+
 def cut_head(link, whole):
     link.sendall(whole[:25])
     link.close()
@@ -244,8 +252,9 @@
 
 
 @pytest.mark.parametrize("group", ["pay", "load"])
-@pytest.mark.parametrize("picks", [is_end, partial(is_page, 1), partial(is_page, 2)],
-                         ids=["end", "page", "last_page"])
+@pytest.mark.parametrize(
+    "picks", [is_end, partial(is_page, 1), partial(is_page, 2)], ids=["end", "page", "last_page"]
+)
 @pytest.mark.parametrize("how", BREAKS)
 def test_an_answer_that_breaks_off_is_asked_for_again_and_started_once(rig, how, picks, group) -> None:
     rig.engine("e", "rows:3", "rows:2")
@@ -313,10 +322,12 @@
     rig.idle()
 
 
-@pytest.mark.parametrize(("end", "group"), [
-    (reset, "pay"), (reset, "load"), (reset, "book"), (socket.socket.close, "book")])
+@pytest.mark.parametrize(
+    ("end", "group"), [(reset, "pay"), (reset, "load"), (reset, "book"), (socket.socket.close, "book")]
+)
 def test_a_connection_that_ends_a_second_into_the_query_costs_neither_rows_nor_a_second_start(
-        rig, end, group) -> None:
+    rig, end, group
+) -> None:
     rig.engine("e", "runs:1300", "rows:2")
     engine, ended = rig.engines["e"], []
     news = engine.news
@@ -348,6 +359,7 @@
 
 # Point 3: a repeat begins inside the window in which the engines drop it.
 
+
 class Repeats:
     """Two engines that reset the first start, which may have run, and a way to the second attempt's engine
     that is held before `name` of `owner` until `go`."""
@@ -422,7 +434,8 @@
 @pytest.mark.parametrize(("scope", "end"), [("all", "pushed_back"), ("cell", "errored")])
 @pytest.mark.parametrize("hold", [hold_dial, hold_room, hold_process])
 def test_a_repeat_whose_connection_is_there_after_the_window_is_not_sent(
-        rig, monkeypatch, hold, scope, end) -> None:
+    rig, monkeypatch, hold, scope, end
+) -> None:
     """Decided in time, it would run a second time: the engines no longer know the first."""
     repeats = Repeats(rig, scope)
     held = hold(repeats, monkeypatch)
@@ -455,6 +468,7 @@
 
 # Point 4: small calls go out at once.
 
+
 def test_a_connection_to_an_engine_does_not_hold_back_small_writes(rig, monkeypatch) -> None:
     rig.engine("e", "rows:3")
     found, place = [], rig.engines["e"].server.address
@@ -475,6 +489,7 @@
 
 # Point 5: connections that come up slowly.
 
+
 class Crowded:
     """A listener in an engine's place whose queue is full: who dials gets no sign, and tries again by its
     system after a second. From `room` on connections come up, and `came` counts them."""
@@ -531,7 +546,8 @@
 
 
 def test_one_connection_that_comes_up_after_more_than_a_second_is_kept_and_its_requests_go_elsewhere(
-        rig) -> None:
+    rig,
+) -> None:
     """The pool has it for the next attempt; of the others that were late none is left open."""
     rig.set("limits.dialTimeoutUs", "250000")
     rig.engine("e")
@@ -540,7 +556,9 @@
     rig.start()
     outcomes, report = [], rig.gateway.facade.report
     rig.gateway.facade.report = lambda dispatch, outcome, *told: (
-        outcomes.append(outcome), report(dispatch, outcome, *told))
+        outcomes.append(outcome),
+        report(dispatch, outcome, *told),
+    )
     gevent.sleep(0.05)
     with no_collector():
         before, began = descriptors(), monotonic()
@@ -588,6 +606,7 @@
 
 # Point 6: connections that an engine ends early.
 
+
 class Doorkeeper:
     """A way to an engine that keeps its connections, so that they can be ended from here; from `unread` on it
     resets the next call's connection without reading it."""
@@ -650,7 +669,8 @@
 
 @pytest.mark.parametrize("group", ["pay", "load"])
 def test_a_connection_that_is_reset_just_before_the_start_is_written_proves_it_unsent(
-        kept, monkeypatch, group) -> None:
+    kept, monkeypatch, group
+) -> None:
     """The reset is there before the first byte: nothing went out, and the request is started once."""
     rig, door = kept
     crossing(monkeypatch, rig.line, lambda: reset(door.links[0]))
@@ -662,7 +682,8 @@
 
 @pytest.mark.parametrize(("group", "times"), [("pay", 1), ("book", 1), ("look", 2), ("load", 2)])
 def test_a_connection_that_is_closed_just_before_the_start_is_written_proves_nothing(
-        kept, monkeypatch, group, times) -> None:
+    kept, monkeypatch, group, times
+) -> None:
     """The start goes out whole, into a connection that its engine has ended: it may have been read. Started
     again only where that is harmless."""
     rig, door = kept
--- a/tests/test_equal_answers.py
+++ b/tests/test_equal_answers.py
@@ -66,8 +66,9 @@
     following = steady_traffic(rig, first, MEASURED_S)
     for number in range(1, following):
         rig.returned(number)
-    print(f"{following - first} requests, {connections.made - made} connections, "
-          f"{calls_of(rig) - calls} calls")
+    print(
+        f"{following - first} requests, {connections.made - made} connections, {calls_of(rig) - calls} calls"
+    )
     assert calls_of(rig) - calls == following - first
     assert connections.made == made
 
@@ -104,7 +105,8 @@
     rig.engine("e", "rows:1")
     engine = rig.engines["e"]
     engine.news = lambda link, ticket: engine.answer(
-        link, 200, [("X-Pages", 1), ("X-Cost-Ms", 5), ("X-Needed-Mb", 1)], own_rows(int(ticket, 16)))
+        link, 200, [("X-Pages", 1), ("X-Cost-Ms", 5), ("X-Needed-Mb", 1)], own_rows(int(ticket, 16))
+    )
     rig.start()
     connections = ConnectionCount(rig.gateway.pools)
     for number in range(1, 31):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -50,18 +50,22 @@
     assert code == 0 and told.count("known red: ") == 6
 
 
-@pytest.mark.parametrize(("lines", "deselected", "why"), [
-    ("", "test_other", "1 failed"),
-    (RED, "none", "1 failed"),
-    (RED + "tests/test_it.py::test_green | c | 1\n", "test_other", "strict"),
-    (RED + "tests/test_it.py::test_gone | c | 1\n", "test_other", "no such test"),
-    ("tests/test_it.py::test_red because\n", "test_other", "KNOWN-RED.txt:1"),
-    (RED * 2, "test_other", "twice"),
-    ("tests/test_it.py::test_red | c | soon\n", "test_other", "KNOWN-RED.txt:1: the issue is no number"),
-    (RED + COMMAND.replace(" | 7 |", " |  |"), "test_other", "KNOWN-RED.txt:2: neither"),
-    (RED + COMMAND.replace(" | 7 |", " | seven |"), "test_other", "KNOWN-RED.txt:2: the seed"),
-    (RED + COMMAND.replace(" | 41", ""), "test_other", "KNOWN-RED.txt:2: the issue is no number"),
-    (RED + COMMAND * 2, "test_other", "KNOWN-RED.txt:3: stands there twice")])
+@pytest.mark.parametrize(
+    ("lines", "deselected", "why"),
+    [
+        ("", "test_other", "1 failed"),
+        (RED, "none", "1 failed"),
+        (RED + "tests/test_it.py::test_green | c | 1\n", "test_other", "strict"),
+        (RED + "tests/test_it.py::test_gone | c | 1\n", "test_other", "no such test"),
+        ("tests/test_it.py::test_red because\n", "test_other", "KNOWN-RED.txt:1"),
+        (RED * 2, "test_other", "twice"),
+        ("tests/test_it.py::test_red | c | soon\n", "test_other", "KNOWN-RED.txt:1: the issue is no number"),
+        (RED + COMMAND.replace(" | 7 |", " |  |"), "test_other", "KNOWN-RED.txt:2: neither"),
+        (RED + COMMAND.replace(" | 7 |", " | seven |"), "test_other", "KNOWN-RED.txt:2: the seed"),
+        (RED + COMMAND.replace(" | 41", ""), "test_other", "KNOWN-RED.txt:2: the issue is no number"),
+        (RED + COMMAND * 2, "test_other", "KNOWN-RED.txt:3: stands there twice"),
+    ],
+)
 def test_any_other_failure_or_line_fails_the_run(tmp_path, lines, deselected, why) -> None:
     code, told = played(tmp_path, lines, deselected)
     assert code != 0 and why in told
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -142,8 +142,9 @@
 def test_a_good_change_is_kept_and_its_whole_meaning_is_in_force(site) -> None:
     traffic = gevent.spawn(site.crowd.run, 60, 60)
     gevent.sleep(2)
-    site.conductor.stage(request("good", to={"one": 0.5, "good": 0.5}, limits=[
-        {"name": "l", "pool": "one", "out": 2}]))
+    site.conductor.stage(
+        request("good", to={"one": 0.5, "good": 0.5}, limits=[{"name": "l", "pool": "one", "out": 2}])
+    )
     site.conductor.apply("good")
     assert site.conductor.status()["share"] == 0.5
     site.over()
@@ -270,11 +271,20 @@
     path = tmp_path / "control"
     assert stat.S_IMODE(path.stat().st_mode) == 0o600
     monkeypatch.setattr(server, "HALF_S", 0.2)
-    codes = [each["error"]["code"] for each in call(
-        path, b"nonsense\n", b"[]\n", b'{"method":"x","id":1}\n', b'{"method":"change.apply","id":2}\n',
-        b'{"method":"change.undo","id":3,"params":{"id":"c","who":1,"why":"y"}}\n',
-        b'{"method":"change.history","id":4,"params":{"most":0}}\n',
-        b'{"method":"config.check","id":5,"params":{"document":{"pools":3}}}\n', end=True)]
+    codes = [
+        each["error"]["code"]
+        for each in call(
+            path,
+            b"nonsense\n",
+            b"[]\n",
+            b'{"method":"x","id":1}\n',
+            b'{"method":"change.apply","id":2}\n',
+            b'{"method":"change.undo","id":3,"params":{"id":"c","who":1,"why":"y"}}\n',
+            b'{"method":"change.history","id":4,"params":{"most":0}}\n',
+            b'{"method":"config.check","id":5,"params":{"document":{"pools":3}}}\n',
+            end=True,
+        )
+    ]
     assert codes == [-32700, -32700, -32601, -32602, -32010, -32010, -32011]
     began = monotonic()
     assert call(path, b'{"method"') == [] and monotonic() - began < 2, "half a line ends its connection"
@@ -309,8 +319,17 @@
 def process(farm, folder):
     (folder / "config.json").write_bytes(orjson.dumps(farm.configuration("{}:{}".format(*spare_address()))))
     running = subprocess.Popen(
-        [sys.executable, "-m", "pathturn", "serve", str(folder / "config.json"), "--operator",
-         str(folder / "operator.json")], stderr=subprocess.PIPE)
+        [
+            sys.executable,
+            "-m",
+            "pathturn",
+            "serve",
+            str(folder / "config.json"),
+            "--operator",
+            str(folder / "operator.json"),
+        ],
+        stderr=subprocess.PIPE,
+    )
     try:
         yield running
     finally:
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -8,8 +8,16 @@
 from pathturn.core.choice import ROW
 
 REST_US, KEYS, KINDS = 300_000, ("k", "l"), ("referenced", "once", "repeatable")
-ENDS = (names.RETURNED, names.ERRORED, names.FULL, names.TIMED_OUT, names.UNREACHABLE, names.RESET,
-        names.CANCELLED, names.UNSENT)
+ENDS = (
+    names.RETURNED,
+    names.ERRORED,
+    names.FULL,
+    names.TIMED_OUT,
+    names.UNREACHABLE,
+    names.RESET,
+    names.CANCELLED,
+    names.UNSENT,
+)
 STEPS = st.one_of(
     st.tuples(st.just("take"), st.integers(0, 2), st.sampled_from(KEYS), st.integers(100, 4000)),
     st.tuples(st.just("end"), st.integers(0, 9), st.sampled_from(ENDS)),
@@ -19,7 +27,8 @@
     st.tuples(st.just("prove"), st.integers(0, 9)),
     st.tuples(st.just("engine"), st.integers(0, 3), st.integers(0, 2)),
     st.tuples(st.just("wait"), st.integers(1, 700)),
-    st.tuples(st.just("stop")))
+    st.tuples(st.just("stop")),
+)
 
 
 class Judge(Stage):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -67,25 +67,40 @@
         return orjson.dumps({"tUs": now, "groups": [{"gateway": 4, "input": events}]}) + b"\n"
 
     hello = ["HELLO", 1, config]
-    first = line(0, hello, ["CENSUS", 0, [row]], ["ANNOUNCE", 2, 1, 0], ["CENSUS", 0, []],
-                 ["INGRESS", 99, "q", None, None, 10**7, 0, 0, 1, 0], ["SURPRISE", 1])
+    first = line(
+        0,
+        hello,
+        ["CENSUS", 0, [row]],
+        ["ANNOUNCE", 2, 1, 0],
+        ["CENSUS", 0, []],
+        ["INGRESS", 99, "q", None, None, 10**7, 0, 0, 1, 0],
+        ["SURPRISE", 1],
+    )
     second = line(1, ["POWER_OFF"], hello, ["ANNOUNCE", 2, 1, 0], ["ANSWER", 99, 0, 7, "ok", 5, True])
     sink = io.BytesIO()
     assert serve(io.BytesIO(first + second), sink) == 0
-    replies = [[step for group in orjson.loads(reply)["groups"] for step in group["steps"]]
-               for reply in sink.getvalue().splitlines()]
+    replies = [
+        [step for group in orjson.loads(reply)["groups"] for step in group["steps"]]
+        for reply in sink.getvalue().splitlines()
+    ]
     assert [step[:3] for step in replies[0] if step[0] == "RELAY"] == [["RELAY", 99, 7]]
     assert not [step for step in replies[1] if step[0] != "SCHEDULE"]
 
 
-@pytest.mark.parametrize(("latency_us", "attempts"), [
-    pytest.param(250_000, 2, id="not up in time"), pytest.param(900, 1, id="refused")])
+@pytest.mark.parametrize(
+    ("latency_us", "attempts"),
+    [pytest.param(250_000, 2, id="not up in time"), pytest.param(900, 1, id="refused")],
+)
 def test_adapter_tells_a_refused_connection_from_one_that_did_not_come_up(latency_us, attempts) -> None:
     """Only the refusal says that the process has gone, so that a new one is still warming up."""
-    config = {"classes": [{"name": "q", "promiseUs": 10**6, "deadlineUs": 10**7, "effect": "retryable",
-                           "lateValue": 0.5}],
-              "limits": {"dialTimeoutUs": 250_000, "maxAttempts": 5}, "siblings": 6,
-              "rules": {"coldFrom": 0.33, "coldUs": 14_000_000, "fallMultiple": 3.0, "fallUs": 1_000_000}}
+    config = {
+        "classes": [
+            {"name": "q", "promiseUs": 10**6, "deadlineUs": 10**7, "effect": "retryable", "lateValue": 0.5}
+        ],
+        "limits": {"dialTimeoutUs": 250_000, "maxAttempts": 5},
+        "siblings": 6,
+        "rules": {"coldFrom": 0.33, "coldUs": 14_000_000, "fallMultiple": 3.0, "fallUs": 1_000_000},
+    }
     codec = Codec()
     work_us = 4_000_000  # more than a gateway's part of an engine that is warming up
 
@@ -93,8 +108,13 @@
         reply = codec.line(orjson.dumps({"tUs": now_us, "groups": [{"gateway": 0, "input": list(events)}]}))
         return [step for group in orjson.loads(reply)["groups"] for step in group["steps"]]
 
-    sent = steps(0, ["HELLO", 1, config], ["CENSUS", 0, [[7, "a", "m", 0, 0, 8, None]]],
-                 ["ANNOUNCE", 2, 1, 0], ["INGRESS", 99, "q", None, None, 10**7, work_us, 0, 1, 1])
+    sent = steps(
+        0,
+        ["HELLO", 1, config],
+        ["CENSUS", 0, [[7, "a", "m", 0, 0, 8, None]]],
+        ["ANNOUNCE", 2, 1, 0],
+        ["INGRESS", 99, "q", None, None, 10**7, work_us, 0, 1, 1],
+    )
     sent += steps(latency_us, ["ANSWER", 99, 0, 7, "connect_failed", latency_us, False])
     sent += steps(latency_us + 25_000, ["FIRED", 0])
     assert len([step for step in sent if step[0] == "RELAY"]) == attempts
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -44,15 +44,17 @@
 
 
 def run(folder: Path, *words: str) -> tuple[int, str, str]:
-    told = subprocess.run([sys.executable, str(folder / "lay.py"), *words], capture_output=True, text=True,
-                          check=False)
+    told = subprocess.run(
+        [sys.executable, str(folder / "lay.py"), *words], capture_output=True, text=True, check=False
+    )
     return told.returncode, told.stdout, told.stderr
 
 
 def test_a_variant_changes_what_it_names_and_nothing_else(folder) -> None:
     (folder / "other.toml").write_text(
         'base = "base.toml"\n[net]\nzones = ["x"]\n[class.load]\nname = "put"\neffect = "unsafe"\n'
-        '[tier.fleet.kind.std]\ncores = 4\n')
+        "[tier.fleet.kind.std]\ncores = 4\n"
+    )
     code, out, err = run(folder)
     assert (code, err) == (0, "") and out.strip().endswith("deploy/sites/laid/other/other.toml")
     laid = folder / "laid" / "other"
@@ -64,10 +66,15 @@
     assert all((laid / name).read_text() == name for name in ("real.json", "wire.json", "unlock.txt"))
 
 
-@pytest.mark.parametrize(("change", "why"), [
-    ("[net]\nspeed = 1", "net: the base has no speed"),
-    ("[class.report]\nworth = 1", "no entry named report"),
-    ("[name]\nx = 1", "name: not a table"), ("[tier.fleet.kind.std]\ncore = 1", "has no core")])
+@pytest.mark.parametrize(
+    ("change", "why"),
+    [
+        ("[net]\nspeed = 1", "net: the base has no speed"),
+        ("[class.report]\nworth = 1", "no entry named report"),
+        ("[name]\nx = 1", "name: not a table"),
+        ("[tier.fleet.kind.std]\ncore = 1", "has no core"),
+    ],
+)
 def test_what_the_base_does_not_have_is_refused_in_one_line(folder, change, why) -> None:
     (folder / "other.toml").write_text(f'base = "base.toml"\n{change}\n')
     code, _, err = run(folder)
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -46,13 +46,23 @@
 
 
 def call_large(rig, number: int) -> None:
-    rig.say(id=number, method="sum", params={
-        "trace": f"{number:016x}", "patience": 7000, "weight": LARGE_WORK_MS, "est_mb": 1, "entity": "key",
-        "data": b64encode(b"SELECT 1 FROM sales_3.orders").decode()})
+    rig.say(
+        id=number,
+        method="sum",
+        params={
+            "trace": f"{number:016x}",
+            "patience": 7000,
+            "weight": LARGE_WORK_MS,
+            "est_mb": 1,
+            "entity": "key",
+            "data": b64encode(b"SELECT 1 FROM sales_3.orders").decode(),
+        },
+    )
 
 
 def test_an_engine_whose_connection_was_late_is_still_sent_large_requests(
-        one_engine_of_six_gateways, monkeypatch) -> None:
+    one_engine_of_six_gateways, monkeypatch
+) -> None:
     rig = one_engine_of_six_gateways
     rig.start()
     failed = first_connect_fails(rig, monkeypatch, TimeoutError)
@@ -62,7 +72,8 @@
 
 
 def test_an_engine_that_refused_a_connection_is_sent_nothing_large_while_it_may_be_warming_up(
-        one_engine_of_six_gateways, monkeypatch) -> None:
+    one_engine_of_six_gateways, monkeypatch
+) -> None:
     rig = one_engine_of_six_gateways
     rig.start()
     failed = first_connect_fails(rig, monkeypatch, ConnectionRefusedError)
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -32,8 +32,9 @@
     @contextmanager
     def process(self):
         self.config.write_bytes(orjson.dumps(self.configuration("{}:{}".format(*self.listen))))
-        self.running = subprocess.Popen([sys.executable, "-m", "pathturn", "serve", str(self.config)],
-                                        stderr=subprocess.DEVNULL)
+        self.running = subprocess.Popen(
+            [sys.executable, "-m", "pathturn", "serve", str(self.config)], stderr=subprocess.DEVNULL
+        )
         try:
             self.until_open()
             yield self
@@ -181,8 +182,13 @@
 
 
 def line(number: int) -> bytes:
-    params = {"trace": f"{number:016x}", "patience": 1500, "weight": 20, "est_mb": 1,
-              "data": b64encode(b"SELECT 1 FROM sales_3.orders").decode()}
+    params = {
+        "trace": f"{number:016x}",
+        "patience": 1500,
+        "weight": 20,
+        "est_mb": 1,
+        "data": b64encode(b"SELECT 1 FROM sales_3.orders").decode(),
+    }
     return orjson.dumps({"jsonrpc": "2.0", "id": number, "method": "look", "params": params}) + b"\n"
 
 
@@ -267,8 +273,9 @@
         assert caller.took["look"][1] < 1.3 + SLACK_S
 
 
-@pytest.mark.parametrize("bad", [b"", b'{"jsonrpc":"2.0","id":1,',
-                                 b'{"jsonrpc":"2.0","id":1,"method":"none"}\n' * 99])
+@pytest.mark.parametrize(
+    "bad", [b"", b'{"jsonrpc":"2.0","id":1,', b'{"jsonrpc":"2.0","id":1,"method":"none"}\n' * 99]
+)
 def test_a_client_that_never_closes_does_not_hold_the_stop_up(site, bad) -> None:
     """Nor does one with half a line, or one that floods and never reads."""
     site.engine("e", "rows:1")
@@ -318,8 +325,9 @@
             site.engine("e")
             old = site.configuration("{}:{}".format(*site.listen))
             site.config.write_bytes(orjson.dumps(old))
-            site.running = subprocess.Popen(["/bin/sh", "-c", f"{gateway_command()} {site.config}"],
-                                            stderr=subprocess.DEVNULL)
+            site.running = subprocess.Popen(
+                ["/bin/sh", "-c", f"{gateway_command()} {site.config}"], stderr=subprocess.DEVNULL
+            )
             sites.append(site)
             gevent.sleep(0.1 + 0.05 * step)
             other = DatagramServer(("127.0.0.1", 0), lambda packet, peer, step=step: asked.add(step))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -35,25 +35,28 @@
 from pathturn.wire.statement import data_set
 
 
-@pytest.mark.parametrize(("statement", "number"), [
-    ("SELECT a FROM sales_17.orders", 17),
-    ("select 'from lake_0.decoy' as note\n from lake_6.stock a where a.tag = 'it''s mart_2.x'", 6),
-    ("SELECT n -- was: from mart_1.old\nFROM mart_8.events", 8),
-    ("SELECT n /* from mart_1.old, * */ FROM \"mart_9\".\"events\"", 9),
-    ("INSERT INTO ops_4.lines SELECT * FROM staging.ops_5", 4),
-    ("COPY staging.incoming_3 TO 'ops_5.x'; INSERT INTO lake_12.t SELECT * FROM staging.incoming_3", 12),
-    ("SELECT t_1.n FROM (SELECT n FROM ops_7.lines) t_1", 7),
-    ("SELECT $$ from mart_1.old $$ FROM sales_2 . orders", 2),
-    ("SELECT 1", 0),
-    ("SELECT 'never closed from mart_1.old", 0),
-])
+@pytest.mark.parametrize(
+    ("statement", "number"),
+    [
+        ("SELECT a FROM sales_17.orders", 17),
+        ("select 'from lake_0.decoy' as note\n from lake_6.stock a where a.tag = 'it''s mart_2.x'", 6),
+        ("SELECT n -- was: from mart_1.old\nFROM mart_8.events", 8),
+        ('SELECT n /* from mart_1.old, * */ FROM "mart_9"."events"', 9),
+        ("INSERT INTO ops_4.lines SELECT * FROM staging.ops_5", 4),
+        ("COPY staging.incoming_3 TO 'ops_5.x'; INSERT INTO lake_12.t SELECT * FROM staging.incoming_3", 12),
+        ("SELECT t_1.n FROM (SELECT n FROM ops_7.lines) t_1", 7),
+        ("SELECT $$ from mart_1.old $$ FROM sales_2 . orders", 2),
+        ("SELECT 1", 0),
+        ("SELECT 'never closed from mart_1.old", 0),
+    ],
+)
 def test_data_set_is_the_number_of_the_schema_alone(statement: str, number: int) -> None:
     assert data_set(statement) == number
 
 
 def test_lines_are_cut_wherever_the_pieces_end() -> None:
     lines, text = jsonrpc.Lines(100), b'{"id":1}\n\n{"id":2}\n{"id":3}\n'
-    found = [line for at in range(0, len(text), 5) for line in lines.feed(memoryview(text[at:at + 5]))]
+    found = [line for at in range(0, len(text), 5) for line in lines.feed(memoryview(text[at : at + 5]))]
     assert found == [b'{"id":1}', b'{"id":2}', b'{"id":3}']
     with pytest.raises(jsonrpc.Unusable):
         for _ in range(12):
@@ -67,8 +70,10 @@
     assert answers.feed(memoryview(first[30:]))
     status, fields, body = answers.take()
     assert (status, body, warehouse.note(fields), answers.keeps) == (202, b"", (names.WAITS, 2.0), True)
-    last = (b"HTTP/1.1 200 OK\r\nConnection: close\r\nX-Meter: queue:1.5;inflight:7\r\n"
-            b"Content-Length: 2\r\n\r\na\n")
+    last = (
+        b"HTTP/1.1 200 OK\r\nConnection: close\r\nX-Meter: queue:1.5;inflight:7\r\n"
+        b"Content-Length: 2\r\n\r\na\n"
+    )
     assert answers.feed(memoryview(last))
     _, fields, body = answers.take()
     assert body == b"a\n" and not answers.keeps
@@ -140,20 +145,37 @@
 
 def test_list_of_the_start_is_what_all_its_events_make() -> None:
     def server(name: str, state: str) -> dict:
-        return {"id": name, "addr": "127.0.0.1:8443", "zone": "z", "kind": "m", "cell": 1, "state": state,
-                "weight": 2, "started_ms": 5}
+        return {
+            "id": name,
+            "addr": "127.0.0.1:8443",
+            "zone": "z",
+            "kind": "m",
+            "cell": 1,
+            "state": state,
+            "weight": 2,
+            "started_ms": 5,
+        }
 
     def event(full: bool, *servers: dict) -> dict:
         return {"endpoints": {"full": full, "servers": servers}}
 
-    index, rows = directory.known({"index": 3, "updates": [
-        event(True, server("a", "in_service"), server("b", "in_service")),
-        event(False, server("a", "terminating")), event(False, server("b", "terminated"))]})
+    index, rows = directory.known(
+        {
+            "index": 3,
+            "updates": [
+                event(True, server("a", "in_service"), server("b", "in_service")),
+                event(False, server("a", "terminating")),
+                event(False, server("b", "terminated")),
+            ],
+        }
+    )
     assert (index, rows) == (3, [("a", ("127.0.0.1", 8443), "z", "m", 1, names.DRAINING, 2, 5)])
 
 
-@pytest.mark.parametrize("packet", [b"", b"\0\1", b"\0\1" + bytes(10), b"\0\1" + b"\xc0\x0c" * 99,
-                                    b"\0\1\x84\0" + bytes(range(1, 200))])
+@pytest.mark.parametrize(
+    "packet",
+    [b"", b"\0\1", b"\0\1" + bytes(10), b"\0\1" + b"\xc0\x0c" * 99, b"\0\1\x84\0" + bytes(range(1, 200))],
+)
 def test_no_datagram_ends_the_following_of_the_list(packet: bytes) -> None:
     with pytest.raises(directory.Unreadable):
         directory.answer(packet, 1)
@@ -161,6 +183,7 @@
 
 def packed(count: int, *, serial: int = 9, texts: dict[int, list[bytes]] | None = None) -> bytes:
     """A list of so many engines, the names as short as DNS allows."""
+
     def record(name: bytes, sort: int, data: bytes) -> bytes:
         return name + struct.pack("!HHIH", sort, 1, 5, len(data)) + data
 
@@ -168,8 +191,13 @@
     zone, labels = len(out) + 18 + 9, []
     for number in range(count):
         labels.append(b"\x08s-%06x" % number)
-        out += record(b"\xc0\x0c", 33, struct.pack("!3H", number % 2, 40, 8443) + labels[-1] + (
-            struct.pack("!H", 0xC000 | zone) if number else b"\x04East\x05hosts\0"))
+        out += record(
+            b"\xc0\x0c",
+            33,
+            struct.pack("!3H", number % 2, 40, 8443)
+            + labels[-1]
+            + (struct.pack("!H", 0xC000 | zone) if number else b"\x04East\x05hosts\0"),
+        )
     out += record(b"\0", 6, b"\0\0" + struct.pack("!5I", serial, 1, 1, 1, 1))
     for number, label in enumerate(labels):
         name = label.upper() + struct.pack("!H", 0xC000 | zone)  # DNS does not tell apart large from small
@@ -207,8 +235,16 @@
             directory.answer(packed(40)[:cut], 1)
 
 
-@pytest.mark.parametrize("told", [[], [b"cell=2"], [b"kind=std", b"cell=x"], [b"kind=std", b"cell=-1"],
-                                  [b"kind=std", b"started=99999999999999999999"]])
+@pytest.mark.parametrize(
+    "told",
+    [
+        [],
+        [b"cell=2"],
+        [b"kind=std", b"cell=x"],
+        [b"kind=std", b"cell=-1"],
+        [b"kind=std", b"started=99999999999999999999"],
+    ],
+)
 def test_one_engine_told_badly_spoils_the_list(told: list[bytes]) -> None:
     with pytest.raises(directory.Unreadable):
         directory.answer(packed(3, texts={1: told}), 1)
@@ -224,8 +260,13 @@
 def test_a_gateway_takes_a_list_of_hundreds_and_tells_of_one_it_cannot_read(rig, monkeypatch, capfd) -> None:
     rig.engine("e")
     answers = [packed(600, serial=2, texts={7: []}), packed(600, serial=2)]
-    monkeypatch.setattr(rig, "directory", lambda packet, peer: rig.names.sendto(
-        packet[:2] + (answers.pop(0) if len(answers) > 1 else answers[0])[2:], peer))
+    monkeypatch.setattr(
+        rig,
+        "directory",
+        lambda packet, peer: rig.names.sendto(
+            packet[:2] + (answers.pop(0) if len(answers) > 1 else answers[0])[2:], peer
+        ),
+    )
     rig.start()
     for _ in range(300):
         if len(rig.gateway.facade.roster.ready) == 300:
@@ -258,13 +299,24 @@
     assert CliRunner().invoke(app, ["data-set", str(statement)]).output == "17\n"
 
 
-@pytest.mark.parametrize("pieces", [
-    (b"\x00\xff\r\n\r\n",), (b"[" * 30_000 + b"\n",), (b"5\n",), (b'{"method":"look"}\n',),
-    (b'{"jsonrpc":"2.0","id":-1,"method":"look"}\n',), (b'{"jsonrpc":"2.0","id":"7","method":"look"}\n',),
-    (b'{"jsonrpc":"2.0","id":1e400,"method":"look"}\n',), (b'{"id":1,"method":"look","params":{}}\n',),
-    (b'[{"jsonrpc":"2.0","id":1,"method":"ping"}]\n',), (b'{"jsonrpc":"2.0","id":1,"method":"x"}\n' * 300,),
-    (b"a" * 60_000,) * 50, (b'{"jsonrpc":"2.0"',), (),
-])
+@pytest.mark.parametrize(
+    "pieces",
+    [
+        (b"\x00\xff\r\n\r\n",),
+        (b"[" * 30_000 + b"\n",),
+        (b"5\n",),
+        (b'{"method":"look"}\n',),
+        (b'{"jsonrpc":"2.0","id":-1,"method":"look"}\n',),
+        (b'{"jsonrpc":"2.0","id":"7","method":"look"}\n',),
+        (b'{"jsonrpc":"2.0","id":1e400,"method":"look"}\n',),
+        (b'{"id":1,"method":"look","params":{}}\n',),
+        (b'[{"jsonrpc":"2.0","id":1,"method":"ping"}]\n',),
+        (b'{"jsonrpc":"2.0","id":1,"method":"x"}\n' * 300,),
+        (b"a" * 60_000,) * 50,
+        (b'{"jsonrpc":"2.0"',),
+        (),
+    ],
+)
 def test_a_bad_client_gets_an_error_or_an_end_in_time_and_the_usual_one_its_rows(rig, pieces) -> None:
     rig.engine("e", "runs:200")
     rig.start()
@@ -326,8 +378,9 @@
     rig.start()
     line = b'{"jsonrpc":"2.0","id":%d,"method":"ping"}\n'
     for _ in range(4):
-        rig.stranger(*(b"".join(line % (1000 * part + number) for number in range(1, 1001))
-                       for part in range(100)))
+        rig.stranger(
+            *(b"".join(line % (1000 * part + number) for number in range(1, 1001)) for part in range(100))
+        )
     gevent.sleep(0.1)
     rig.call(1, "look", patience=300)
     rig.returned(1)
@@ -375,8 +428,11 @@
 def process(rig, tmp_path):
     config = tmp_path / "config.json"
     config.write_bytes(orjson.dumps(rig.configuration(rig.spare_address())))
-    running = subprocess.Popen([sys.executable, "-m", "pathturn", "serve"], stderr=subprocess.DEVNULL,
-                               env={**os.environ, "EDGE_CONFIG": str(config)})
+    running = subprocess.Popen(
+        [sys.executable, "-m", "pathturn", "serve"],
+        stderr=subprocess.DEVNULL,
+        env={**os.environ, "EDGE_CONFIG": str(config)},
+    )
     try:
         rig.connect()
         yield running
@@ -438,19 +494,38 @@
         assert running.returncode == 0
 
 
-@pytest.mark.parametrize(("limit", "told", "row", "least", "most"), [
-    (7000, 4500, 1920, 2.6, 2.8), (7000, 2000, 1900, 0, 0.6), (25_000, 4500, 1920, 2.4, 2.7),
-    (2000, 2000, 480, 1.4, 1.6), (2000, 400, 380, 0, 0.3)])
+@pytest.mark.parametrize(
+    ("limit", "told", "row", "least", "most"),
+    [
+        (7000, 4500, 1920, 2.6, 2.8),
+        (7000, 2000, 1900, 0, 0.6),
+        (25_000, 4500, 1920, 2.4, 2.7),
+        (2000, 2000, 480, 1.4, 1.6),
+        (2000, 400, 380, 0, 0.3),
+    ],
+)
 def test_a_batch_in_order_is_answered_though_its_patience_ran_on_before_it_was_written(
-        rig, limit, told, row, least, most) -> None:
+    rig, limit, told, row, least, most
+) -> None:
     """Its client wrote it behind others of its key: a row's time of what it says was over by then, and half a
     second after the rest an answer is lost. A row takes no more than a part of the group's time limit."""
     rig.settings["classes"][2]["deadlineUs"] = limit * 1000
     rig.engine("e", "runs:9000")
     rig.start()
     began = monotonic()
-    rig.say(id=1, method="load", params={"trace": "1" * 16, "patience": told, "weight": 100, "est_mb": 1,
-                                         "entity": "k", "nonce": "n", "data": "U0VMRUNU"})
+    rig.say(
+        id=1,
+        method="load",
+        params={
+            "trace": "1" * 16,
+            "patience": told,
+            "weight": 100,
+            "est_mb": 1,
+            "entity": "k",
+            "nonce": "n",
+            "data": "U0VMRUNU",
+        },
+    )
     rig.call(2, "look", patience=200)  # these need not wait for a turn
     rig.pushed_back(2)
     rig.pushed_back(1)
