--- a/pathturn/memory/batches.py
+++ b/pathturn/memory/batches.py
@@ -1,4 +1,4 @@
-"""Open batches, and the dispatches that each has out."""
+"""Open batches and their dispatches in flight."""
 
 from collections.abc import Callable
 from itertools import count
@@ -10,7 +10,7 @@
 
 
 class End:
-    """How a batch ends; `how` is None when nobody waits for the answer any more."""
+    """How a batch ended; `how` is None if the client no longer waits for an answer."""
 
     __slots__ = ("how", "retry_us", "rows")
 
@@ -19,13 +19,13 @@
 
 
 class Source(Protocol):
-    """Where a batch came from; None stands for a caller that leaves by `Facade.leave` alone."""
+    """The client connection that a batch came from; callers without one pass None."""
 
     def catch_up(self) -> None: ...
 
 
 class Batch:
-    """What the gateway itself needs of an open batch; what decides on it lies in the module."""
+    """What the gateway needs to know of an open batch; the decision module keeps its own record of it."""
 
     __slots__ = (
         "index",
@@ -62,15 +62,20 @@
     ) -> None:
         self.source = source
         self.index, self.ticket, self.group, self.nonce, self.key = index, ticket, group, nonce, key
-        self.statement, self.until_us = statement, until_us
+        self.statement = statement
+        self.until_us = until_us
         self.steps: SimpleQueue = SimpleQueue()
-        self.over, self.sent, self.priority, self.grant_mb = False, 0, 1, 0.0
+        self.over = False
+        self.sent = 0
+        self.priority = 1
+        self.grant_mb = 0.0
         self.out: dict[int, Dispatch] = {}
-        # Under an operator's document: what routes tell it by, its course, and who counts how it ends.
+        # Set only with an operator document: routing traits, route, and the callback for the batch's end.
         self.told = self.course = self.watch = None
         self.taken_us = self.goal_us = 0
 
     def end(self, end: End) -> None:
+        """Set the batch's final outcome; calls after the first have no effect."""
         if not self.over:
             self.over = True
             self.steps.put(end)
@@ -79,22 +84,30 @@
 
 
 class Dispatch:
-    """One dispatch. Whoever carries it sets `stop`, so that it can be called back meanwhile."""
+    """One dispatch of a batch to an engine.
+
+    The greenlet that carries it sets `stop` and `rerank` while it can be cancelled or given another
+    priority.
+    """
 
     __slots__ = ("batch", "number", "place", "until_us", "sent_us", "called_back", "stop", "rerank")
 
     def __init__(self, batch: Batch, place: Place, now_us: int, until_us: int) -> None:
         self.batch, self.number, self.place = batch, batch.sent, place
-        self.sent_us, self.until_us, self.called_back = now_us, until_us, False
+        self.sent_us = now_us
+        self.until_us = until_us
+        self.called_back = False
         self.stop: Callable[[], None] | None = None
         self.rerank: Callable[[int], None] | None = None
 
     @property
     def engine(self) -> int:
+        """Index of the engine."""
         return self.place[0]
 
     def call_back(self) -> None:
-        """Once only: a second one would strike the greenlet while it takes the first to the engine."""
+        """Cancel the dispatch, once: a second kill would interrupt the greenlet while it forwards the first
+        one to the engine."""
         stop = None if self.called_back else self.stop
         self.called_back = True
         if stop is not None:
@@ -102,8 +115,12 @@
 
 
 class OpenBatches:
+    """All open batches, by index and by ticket."""
+
     def __init__(self) -> None:
-        self.numbers, self.by_index, self.tickets = count(), {}, set()
+        self.indices = count()
+        self.by_index = {}
+        self.tickets = set()
 
     def open(
         self,
@@ -115,13 +132,14 @@
         statement: bytes,
         until_us: int,
     ) -> Batch:
-        batch = Batch(next(self.numbers), source, ticket, group, nonce, key, statement, until_us)
+        """Register a new batch under the next index."""
+        batch = Batch(next(self.indices), source, ticket, group, nonce, key, statement, until_us)
         self.by_index[batch.index] = batch
         self.tickets.add(ticket)
         return batch
 
-    def settle(self, batch: Batch) -> None:
-        """Forgets a batch that has its end and each of whose dispatches has its outcome."""
+    def remove_if_finished(self, batch: Batch) -> None:
+        """Remove a batch once it has ended and each of its dispatches has its outcome."""
         if batch.over and not batch.out and self.by_index.pop(batch.index, None) is not None:
             self.tickets.discard(batch.ticket)
 
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -1,6 +1,8 @@
-"""The decision module in blocking style. A batch's greenlet asks `pick` where to send or how to end, a
-dispatch's greenlet hands its outcome to `report`, and one greenlet runs `tick` for all that came in since.
-Events, actions and indices of the module stay in here; here nothing is decided.
+"""Blocking interface to the decision module.
+
+The greenlet of a batch calls `pick` to learn where to send it or how to end it, the greenlet of a dispatch
+passes its outcome to `report`, and a single greenlet runs `tick` for all events received since the last one.
+The module's events, actions and indices are translated here; no decision is taken here.
 """
 
 from collections import Counter
@@ -18,55 +20,71 @@
 from pathturn.memory.overdue import OverdueBatches
 from pathturn.memory.roster import Roster
 
-if TYPE_CHECKING:  # imported when enabled only: plain serve has no routes
+if TYPE_CHECKING:  # routing is imported at run time only if enabled: plain serve has no routes
     from pathturn.routing.router import Router, Traits
 
-# The module ends a batch before its time; the protocol leaves 50 ms after it.
+# The module normally ends a batch before its deadline; the protocol allows an answer up to 50 ms after it.
 OVERDUE_US = 20_000
-# By the protocol requests of one key are written so far apart: over a shorter stall no two can change places.
+# A longer gap between heartbeats is a stall. By the protocol requests of one key are written at least this
+# far apart, so a shorter stall cannot change their order.
 STANDSTILL_US = 60_000
 
 
-def _goal_us(group: names.ServiceGroup, work_us: int) -> int:
+def _response_goal_us(group: names.ServiceGroup, work_us: int) -> int:
     return group.goal_us + int(group.goal_stretch * work_us / group.threads)
 
 
 class Facade:
+    """Passes events to the decision module and carries out what it decides."""
+
     def __init__(
         self,
         decider: names.Decider,
         groups: dict[str, names.ServiceGroup],
         clock: Callable[[], int],
-        tells_cost: bool,
+        answers_report_cost: bool,
         log: Callable[[str], None],
     ) -> None:
-        self.decider, self.groups, self.clock = decider, groups, clock
+        self.decider = decider
+        self.groups = groups
+        self.clock = clock
         self.group_index = {name: index for index, name in enumerate(groups)}
-        self.tells_cost, self.log_line = tells_cost, log
-        self.batches, self.roster, self.overdue = OpenBatches(), Roster(), OverdueBatches()
+        self.answers_report_cost = answers_report_cost
+        self.log_line = log
+        self.batches = OpenBatches()
+        self.roster = Roster()
+        self.overdue = OverdueBatches()
         self.events: list[tuple] = []
-        self.first_of: dict[str, object] = {}
-        self.unwritten: Counter[str] = Counter()  # by key: batches whose clients have not got their end yet
-        self.beat_us, self.stood_us, self.gap_us = clock(), 0, 0
-        self.came, self.wake_at, self.round_us = Event(), inf, 0
+        self.first_source_of_key: dict[str, object] = {}
+        self.unwritten_answers: Counter[str] = (
+            Counter()
+        )  # by key: ended batches whose answer is being written
+        self.last_heartbeat_us = clock()
+        self.last_stall_us = 0
+        self.last_stall_length_us = 0
+        self.came = Event()
+        self.wake_at = inf
+        self.round_started_us = 0
         self.follows_list = Event()
         self.router: Router | None = None
         self.traits: Callable[..., Traits] | None = None
         self.watch: Callable[[Batch, End], None] | None = None
 
-    def _tell(self, *event: Any) -> None:
+    def _add_event(self, *event: Any) -> None:
         self.events.append(event)
         self.came.set()
 
-    # For the clients' side.
+    # Called for clients.
     def group(self, name: str) -> names.ServiceGroup | None:
+        """Return the service group of that name, if there is one."""
         return self.groups.get(name)
 
     def row_us(self, name: str) -> int:
-        """For how long a batch of a key in order may have waited for its turn to be written."""
+        """Return how long a batch of an ordered group may have waited for its key before it was written."""
         return self.decider.row_us(self.groups[name])
 
     def is_open(self, ticket: str) -> bool:
+        """Return whether a batch with this ticket is open."""
         return ticket in self.batches.tickets
 
     def take(
@@ -84,13 +102,16 @@
         repeat: bool,
         statement: bytes,
     ) -> Batch:
-        until_us = self.clock() + left_us - self._waited_us()
+        """Open a batch, and queue its event for the next round."""
+        until_us = self.clock() + left_us - self._read_delay_us()
         batch = self.batches.open(source, ticket, group, nonce, key, statement, until_us)
         if self.router is not None:
             batch.told = self.traits(group, customer, key, data_set, ticket)
-            batch.course, batch.taken_us = self.router.course(batch.told), self.clock()
-            batch.goal_us, batch.watch = _goal_us(self.groups[group], work_us), self.watch
-        self._tell(
+            batch.course = self.router.course(batch.told)
+            batch.taken_us = self.clock()
+            batch.goal_us = _response_goal_us(self.groups[group], work_us)
+            batch.watch = self.watch
+        self._add_event(
             "batch",
             batch.index,
             self.group_index[group],
@@ -103,14 +124,22 @@
             repeat,
             batch.course,
         )
-        # The event loop reads first what became readable last: over a standstill batches of one key that came
-        # on two connections change places, and nothing tells when each came.
-        if key is not None and self.first_of.setdefault(key, source) is not source and self._stood():
-            self._tell("unsure", batch.index)
+        # The event loop handles the sockets that became readable last first. After a stall, batches of one
+        # key that arrived on two connections may be read in reverse order, and no arrival times are known.
+        if (
+            key is not None
+            and self.first_source_of_key.setdefault(key, source) is not source
+            and self._stalled()
+        ):
+            self._add_event("unsure", batch.index)
         return batch
 
     def pick(self, batch: Batch) -> Dispatch | End:
-        """Where to send, or how to end. A fault that loses a batch's events must not lose its answer too."""
+        """Wait for the batch's next dispatch or its end.
+
+        The wait ends soon after the deadline even if a fault lost the batch's events: the client gets an
+        answer all the same.
+        """
         left_us = max(0, batch.until_us + OVERDUE_US - self.clock())
         try:
             return batch.steps.get(timeout=left_us / 1e6)
@@ -121,37 +150,42 @@
 
     @contextmanager
     def answering(self, batch: Batch) -> Iterator[None]:
-        """While a batch's answer is being written. The module knows it as over by then, and lets the next of
-        its key go; for the client it is over once the answer is there."""
+        """Mark a batch's answer as being written.
+
+        For the decision module the batch has ended by then, and the next one of its key may go; for the
+        client it has ended only once the answer is written.
+        """
         if batch.key is not None:
-            self.unwritten[batch.key] += 1
+            self.unwritten_answers[batch.key] += 1
         try:
             yield
         finally:
-            self.unwritten -= Counter((batch.key,))
+            self.unwritten_answers -= Counter((batch.key,))
 
     def follows(self, dispatch: Dispatch) -> bool:
-        """Whether those before it in its key's order have their answers."""
-        return dispatch.batch.key not in self.unwritten
+        """Return whether the answers to all earlier batches of the dispatch's key have been written."""
+        return dispatch.batch.key not in self.unwritten_answers
 
     def leave(self, batch: Batch) -> None:
-        """The client no longer waits."""
+        """Withdraw a batch whose client no longer waits for it."""
         if not batch.over:
-            self._tell("withdrawn", batch.index)
+            self._add_event("withdrawn", batch.index)
             batch.end(End(None))
-            self.batches.settle(batch)
+            self.batches.remove_if_finished(batch)
 
-    # For the operator's side.
+    # Called for the operator.
     def follow(
         self, router: "Router", traits: Callable[..., "Traits"], watch: Callable[[Batch, End], None]
     ) -> None:
-        """From now on batches go by the router's tables, and `watch` hears how each one ended."""
+        """Route batches by the router's tables from now on, and call `watch` when a batch ends."""
         self.router, self.traits, self.watch = router, traits, watch
         router.listing(self.roster.seats)
 
     def take_back(self, generation: int) -> int:
-        """What was taken under that generation and has been sent nowhere goes by the present one. In the same
-        turn as the change of tables, so that no round lies between."""
+        """Route a generation's batches that have not been dispatched by the present one; return how many.
+
+        Called without a switch of greenlets after the change of tables, so that no round runs in between.
+        """
         moved = [
             batch
             for batch in self.batches.by_index.values()
@@ -162,21 +196,25 @@
         ]
         for batch in moved:
             batch.course = self.router.course(batch.told)
-            self._tell("moved", batch.index, batch.course)
+            self._add_event("moved", batch.index, batch.course)
         return len(moved)
 
-    # For the engines' side.
+    # Called for engines.
     def stands(self, dispatch: Dispatch) -> bool:
-        """Whether a dispatch that waited for a connection may still begin: drains and aborts come too. Asked
-        last before its first byte, so what the client has said by then is heard first."""
+        """Return whether a dispatch that waited for a connection may still start.
+
+        Its engine may be draining or its batch aborted by now. Called immediately before the first byte is
+        sent; what the client has sent until then is read first.
+        """
         if (source := dispatch.batch.source) is not None and not dispatch.batch.over:
             source.catch_up()
         if dispatch.batch.over or dispatch.engine not in self.roster.ready:
             return False
         return self.decider.may_begin(dispatch.batch.index, self.clock())
 
-    def note(self, dispatch: Dispatch, sort: int, level: float) -> None:
-        self._tell("note", dispatch.batch.index, dispatch.engine, sort, level, dispatch.number)
+    def note(self, dispatch: Dispatch, kind: int, level: float) -> None:
+        """Pass on an engine's notice about a running dispatch."""
+        self._add_event("note", dispatch.batch.index, dispatch.engine, kind, level, dispatch.number)
 
     def report(
         self,
@@ -188,13 +226,13 @@
         meter: list[float] | None = None,
         rows: bytes = b"",
     ) -> None:
-        """An outcome, exactly one for each dispatch; the first rows returned end the batch."""
+        """Record the outcome of a dispatch, exactly once for each; the first returned rows end the batch."""
         batch = dispatch.batch
         del batch.out[dispatch.number]
         if outcome == names.RETURNED:
             batch.end(End(names.RETURNED, rows=rows))
-        told = outcome == names.RETURNED and self.tells_cost
-        self._tell(
+        cost_known = outcome == names.RETURNED and self.answers_report_cost
+        self._add_event(
             "answer",
             batch.index,
             dispatch.number,
@@ -202,64 +240,78 @@
             outcome,
             max(0, ended_us - dispatch.sent_us),
             batch.over,
-            work_us if told else 0,
-            memory_mb if told else 0,
+            work_us if cost_known else 0,
+            memory_mb if cost_known else 0,
             meter,
         )
-        self.batches.settle(batch)
+        self.batches.remove_if_finished(batch)
 
     def unproven(self, dispatch: Dispatch) -> Callable[[], None]:
-        """Told before its outcome: its query may go on, and the key waits. Returns what tells of its end."""
-        self._tell("unproven", dispatch.batch.key)
-        return partial(self._tell, "proven", dispatch.batch.key)
+        """Mark a dispatch, before its outcome is reported, as possibly still running on its engine.
+
+        Its key is blocked meanwhile. Returns the function to call once the execution has surely ended.
+        """
+        self._add_event("unproven", dispatch.batch.key)
+        return partial(self._add_event, "proven", dispatch.batch.key)
 
     def named(self, dispatch: Dispatch) -> bool:
-        """Whether the list still names the engine."""
+        """Return whether the dispatch's engine is still listed."""
         return dispatch.engine in self.roster.place
 
-    # For the list's side.
-    def listing(self, form: int, told: list[tuple]) -> None:
-        """The whole list, or that it could not be had."""
-        rows = [] if form == names.FAILED else self.roster.rows(told)
+    # Called for discovery.
+    def listing(self, form: int, entries: list[tuple]) -> None:
+        """Replace the list of engines, or record that it could not be had."""
+        rows = [] if form == names.FAILED else self.roster.update(entries)
         if self.router is not None and form != names.FAILED:
             self.router.listing(self.roster.seats)
-        self._tell("listing", form, rows)
+        self._add_event("listing", form, rows)
 
-    # For whoever starts and stops it, and runs the rounds.
+    # Called by the process: start, stop and rounds.
     def stop(self, left_us: int) -> None:
-        self._tell("stop", left_us)
+        """Tell the decision module that the process ends after `left_us` at the latest."""
+        self._add_event("stop", left_us)
 
     def beat(self) -> None:
-        """Told every few milliseconds; a gap is a standstill of the whole process."""
+        """Note that the event loop runs; called every few milliseconds. A longer gap is a stall of the whole
+        process."""
         now = self.clock()
-        if now - self.beat_us > STANDSTILL_US:
-            self.stood_us, self.gap_us = now, now - self.beat_us
-            self.log_line(f"stood still for {(now - self.beat_us) // 1000} ms")
-        self.beat_us = now
-
-    def _waited_us(self) -> int:
-        """For how long what is read now may have lain unread: its time runs from its last byte."""
+        if now - self.last_heartbeat_us > STANDSTILL_US:
+            self.last_stall_us = now
+            self.last_stall_length_us = now - self.last_heartbeat_us
+            self.log_line(f"event loop stalled for {(now - self.last_heartbeat_us) // 1000} ms")
+        self.last_heartbeat_us = now
+
+    def _read_delay_us(self) -> int:
+        """Return for how long the input read now may have been unread: time limits run from its arrival."""
         now = self.clock()
-        gap = now - self.beat_us
-        return gap if gap > STANDSTILL_US else self.gap_us if now - self.stood_us < STANDSTILL_US else 0
+        gap = now - self.last_heartbeat_us
+        return (
+            gap
+            if gap > STANDSTILL_US
+            else self.last_stall_length_us
+            if now - self.last_stall_us < STANDSTILL_US
+            else 0
+        )
 
-    def _stood(self) -> bool:
-        """Whether what is read now may have come in one; the beat that tells of it may come only next."""
-        return self._waited_us() > 0
+    def _stalled(self) -> bool:
+        """Return whether the input read now may have arrived during a stall. The heartbeat that notices the
+        stall may run only after it is read."""
+        return self._read_delay_us() > 0
 
     def wait(self) -> None:
-        """Until something came in, or the module asked to be woken."""
+        """Wait for an event, or for the time at which the decision module asked to be woken."""
         if not self.came.is_set():
-            left = None if self.wake_at == inf else max(0, self.wake_at - self.clock()) / 1e6
-            self.came.wait(left)
+            left_s = None if self.wake_at == inf else max(0, self.wake_at - self.clock()) / 1e6
+            self.came.wait(left_s)
         self.came.clear()
 
     def tick(self) -> None:
+        """Run a round of the decision module on all events received since the last one."""
         now = self.clock()
-        events, self.events = [self._as_of(now, event) for event in self.events], []
-        if not self._stood():
-            self.first_of.clear()
-        self.round_us = now
+        events, self.events = [self._with_time_left(now, event) for event in self.events], []
+        if not self._stalled():
+            self.first_source_of_key.clear()
+        self.round_started_us = now
         if now >= self.wake_at:
             self.wake_at = inf
             events.append(("wake", 0))
@@ -271,37 +323,38 @@
     def _end_overdue(self) -> None:
         for batch in self.overdue.after_round():
             self.log_line(f"batch {batch.ticket} overdue")
-            self._tell("withdrawn", batch.index)
+            self._add_event("withdrawn", batch.index)
             batch.end(End(names.ERRORED))
-            self.batches.settle(batch)
+            self.batches.remove_if_finished(batch)
         if self.overdue:
             self.came.set()
 
-    def _as_of(self, now: int, event: tuple) -> tuple:
-        """A batch's time has run on between its last byte and the round."""
+    def _with_time_left(self, now: int, event: tuple) -> tuple:
+        """Update the time left in a new batch's event: it was computed when the batch was read."""
         if event[0] != "batch" or event[1] not in self.batches.by_index:
             return event
         return (*event[:5], max(0, self.batches.by_index[event[1]].until_us - now), *event[6:])
 
-    # The writer's side: what the module decides.
+    # Called by the decision module during a round, as its writer.
     def dispatch(self, batch: int, engine: int, limit_us: int) -> None:
-        held, now = self.batches.by_index[batch], self.clock()
-        dispatch = Dispatch(held, self.roster.place[engine], now, now + limit_us)
-        held.out[held.sent] = dispatch
-        held.sent += 1
-        held.steps.put(dispatch)
+        open_batch = self.batches.by_index[batch]
+        now = self.clock()
+        dispatch = Dispatch(open_batch, self.roster.place[engine], now, now + limit_us)
+        open_batch.out[open_batch.sent] = dispatch
+        open_batch.sent += 1
+        open_batch.steps.put(dispatch)
 
     def terms(self, batch: int, priority: int, grant_mb: float) -> None:
-        held = self.batches.by_index[batch]
-        held.priority, held.grant_mb = priority, grant_mb
-        for dispatch in held.out.values():
+        open_batch = self.batches.by_index[batch]
+        open_batch.priority, open_batch.grant_mb = priority, grant_mb
+        for dispatch in open_batch.out.values():
             if dispatch.rerank is not None:
                 dispatch.rerank(priority)
 
     def cancel(self, batch: int, dispatch: int) -> None:
-        held = self.batches.by_index.get(batch)
-        if held is not None and dispatch in held.out:
-            held.out[dispatch].call_back()
+        open_batch = self.batches.by_index.get(batch)
+        if open_batch is not None and dispatch in open_batch.out:
+            open_batch.out[dispatch].call_back()
 
     def push_back(self, batch: int, retry_us: int) -> None:
         self._end(batch, End("pushed_back", retry_us))
@@ -310,20 +363,21 @@
         self._end(batch, End(names.ERRORED))
 
     def _end(self, batch: int, end: End) -> None:
-        if (held := self.batches.by_index.get(batch)) is not None:
-            held.end(end)
-            self.batches.settle(held)
+        if (open_batch := self.batches.by_index.get(batch)) is not None:
+            open_batch.end(end)
+            self.batches.remove_if_finished(open_batch)
 
     def wake(self, delay_us: int, tag: int) -> None:
-        # From the round's own time, as the module counts. From now it would come later than the module noted:
-        # a round in between finds it past there, and what it asks for anew is lost behind the old one.
-        self.wake_at = min(self.wake_at, self.round_us + delay_us)
+        # Counted from the round's start, as the module does. Counted from now it would come later than the
+        # module recorded: a round in between would find that time past and ask for another wake-up, which
+        # would be lost behind the first one.
+        self.wake_at = min(self.wake_at, self.round_started_us + delay_us)
 
     def subscribe(self, on: bool) -> None:
         (self.follows_list.set if on else self.follows_list.clear)()
 
     def probe(self, engine: int) -> None:
-        """The protocol has no such call: the module hears nothing, as from a probe that was lost."""
+        """Do nothing: the protocol has no probes, so to the module each one seems lost."""
 
     def log(self, text: str) -> None:
         self.log_line(text)
--- a/pathturn/memory/pools.py
+++ b/pathturn/memory/pools.py
@@ -1,4 +1,4 @@
-"""Connections to engines: idle ones are used again, and all of them together stay under the cap."""
+"""Connection pool for engines: reuses idle connections and limits the number of all of them together."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -10,64 +10,72 @@
 from pathturn.memory.roster import Place
 from pathturn.wire.line import ConnectTimeoutError, Line
 
-# Idle connections are closed in half the time after which the engines do: a call must not cross such a close.
-EARLIER = 2
+# Idle connections are closed after half the engines' own idle timeout, so that no request is sent on a
+# connection that the engine is closing.
+IDLE_TIMEOUT_DIVISOR = 2
 
 
 class Pools:
+    """Connections to engines, pooled by endpoint."""
+
     def __init__(
         self,
         cap: int,
-        idle_us: int,
-        dial_us: int,
+        engine_idle_timeout_us: int,
+        dial_timeout_us: int,
         clock: Callable[[], int],
         dial: Callable[[Place, float], Line],
         log: Callable[[str], None],
     ) -> None:
-        self.room, self.clock, self.dial, self.log = BoundedSemaphore(cap), clock, dial, log
-        self.idle_us, self.dial_s = idle_us // EARLIER, dial_us / 1e6
+        self.room = BoundedSemaphore(cap)
+        self.clock, self.dial, self.log = clock, dial, log
+        self.idle_timeout_us = engine_idle_timeout_us // IDLE_TIMEOUT_DIVISOR
+        self.dial_s = dial_timeout_us / 1e6
         self.idle: dict[Place, list[Line]] = defaultdict(list)
         self.waiting = 0
-        # Connections that were not up in time for their attempt, one an endpoint at most, each with the
-        # greenlet that waits for it: one that comes up after all is the next attempt's.
+        # Connections whose attempt timed out while they were still being established, at most one for an
+        # endpoint, each with the greenlet that waits for it. One that succeeds later serves the next attempt.
         self.late: dict[Place, gevent.Greenlet] = {}
         self.equal_answers: set[Place] = set()
 
     def borrow(self, place: Place, new: bool = False) -> Line:
-        waiting = self.idle[place]
-        # An answer cannot be a copy of what its connection brought long ago: where answers are equal, the one
-        # idle for longest goes first. Elsewhere the last one, so that those not needed can end.
+        """Return an idle connection to the endpoint, or a new one; `new` rules out idle ones."""
+        idle = self.idle[place]
+        # Where responses are identical, a late duplicate of an earlier response could be mistaken for the
+        # next one, so the connection idle for longest is used: what it carried is too long ago for that.
+        # Elsewhere the last used one is taken, so that surplus connections reach their idle timeout.
         longest_idle_first = place in self.equal_answers
-        while waiting and not new:
-            line = waiting.pop(0 if longest_idle_first else -1)
+        while idle and not new:
+            line = idle.pop(0 if longest_idle_first else -1)
             if line.fresh():
                 return line
             self.drop(line, "engine_closed")
-        self._take_room()
+        self._acquire_slot()
         try:
             return self.dial(place, self.dial_s)
         except ConnectTimeoutError as timeout:
-            self._keep_late(timeout.connection)
+            self._await_late_connection(timeout.connection)
             raise
         except BaseException:
             self.room.release()
             raise
 
     def expect_equal_answers(self, place: Place) -> None:
-        """Note that an endpoint gives the same answer to more than one request."""
+        """Note that an endpoint gives the same response to more than one request."""
         self.equal_answers.add(place)
 
-    def _keep_late(self, line: Line) -> None:
-        """Wait for it as long as an idle connection is kept, unless its descriptor is needed or its engine
-        has gone before."""
+    def _await_late_connection(self, line: Line) -> None:
+        """Wait for a connection to be established, for as long as an idle one is kept; give up earlier if
+        its slot is needed or its engine is removed."""
         if line.place in self.late:
             self.drop(line, "connect_timeout")
             return
         self.log(f"engine {line.host} code=connect_late")
-        waiter = self.late[line.place] = gevent.spawn(line.came_up, self.idle_us / 1e6)
-        waiter.link(partial(self._settle_late, line))  # also runs where the waiter is killed before its start
+        waiter = self.late[line.place] = gevent.spawn(line.came_up, self.idle_timeout_us / 1e6)
+        # A link also runs if the waiter is killed before it starts.
+        waiter.link(partial(self._finish_late_connection, line))
 
-    def _settle_late(self, line: Line, waiter: gevent.Greenlet) -> None:
+    def _finish_late_connection(self, line: Line, waiter: gevent.Greenlet) -> None:
         del self.late[line.place]
         if waiter.value is True:
             self.give_back(line)
@@ -75,22 +83,24 @@
             self.drop(line, "connect_timeout")
 
     def give_back(self, line: Line) -> None:
-        if code := line.parts or ("room" if self.waiting else None):
+        """Return a connection to the pool; it is closed if unusable or if others wait for a slot."""
+        if code := line.parts or ("connection_limit" if self.waiting else None):
             self.drop(line, code)
             return
         line.idle_us = self.clock()
         self.idle[line.place].append(line)
 
     def prune(self) -> None:
-        oldest = self.clock() - self.idle_us
-        for place, waiting in list(self.idle.items()):
-            while waiting and waiting[0].idle_us <= oldest:
-                self.drop(waiting.pop(0), "idle")
-            if not waiting:
-                del self.idle[place]  # engines are replaced for ever
+        """Close the connections whose idle timeout has expired."""
+        oldest_us = self.clock() - self.idle_timeout_us
+        for place, idle in list(self.idle.items()):
+            while idle and idle[0].idle_us <= oldest_us:
+                self.drop(idle.pop(0), "idle")
+            if not idle:
+                del self.idle[place]  # else the dict would grow without bound as engines are replaced
 
     def keep_only(self, places: set[Place]) -> None:
-        """Drops what is idle to engines that have gone: another may have the address next."""
+        """Close idle connections to all other endpoints: their addresses may be reused by new engines."""
         self.equal_answers &= places
         for place in self.idle.keys() - places:
             for line in self.idle.pop(place):
@@ -98,16 +108,17 @@
         for place in self.late.keys() - places:
             self.late[place].kill(block=False)
 
-    def _take_room(self) -> None:
-        """Waits in turn when all are in use: an engine is not to blame for this gateway's limit."""
+    def _acquire_slot(self) -> None:
+        """Take a slot under the connection limit; if none is free, free one and wait in turn. Waiting is no
+        failure of the engine: the limit is the gateway's own."""
         if self.room.acquire(blocking=False):
             return
         fullest = max(self.idle.values(), key=len, default=None)
         if fullest:
-            self.drop(fullest.pop(0), "room")
+            self.drop(fullest.pop(0), "connection_limit")
         elif self.late:
             next(iter(self.late.values())).kill(block=False)
-        self.log("no connection to engines is free")
+        self.log("limit of connections to engines reached")
         self.waiting += 1
         try:
             self.room.acquire()
@@ -115,5 +126,6 @@
             self.waiting -= 1
 
     def drop(self, line: Line, code: str) -> None:
+        """Close a connection and free its slot."""
         line.close(code)
         self.room.release()
--- a/pathturn/memory/roster.py
+++ b/pathturn/memory/roster.py
@@ -1,38 +1,45 @@
-"""The list of engines as last told: small indices for ids, and where each one listens."""
+"""The engines of the latest discovery list, under small integer indices."""
 
 from itertools import count
 
 from pathturn.core.interface import READY, Seat
 
-# An engine's index with its address: a new engine may have the address of one that has gone.
+# Engine index and address. The index tells a new engine from a removed one that had the same address.
 Place = tuple[int, tuple[str, int]]
 
 
 class Roster:
+    """Maps engine ids to indices and indices to endpoints."""
+
     def __init__(self) -> None:
-        self.numbers, self.index_of = count(), {}
+        self.indices = count()
+        self.index_of = {}
         self.place: dict[int, Place] = {}
         self.ready: set[int] = set()
-        self.told: list[tuple] = []
+        self.entries: list[tuple] = []
 
     @property
     def places(self) -> set[Place]:
+        """Endpoints of all listed engines."""
         return set(self.place.values())
 
     @property
     def seats(self) -> list[Seat]:
-        """The list as routing sees it."""
+        """The listed engines in the form that routing uses."""
         return [
             Seat(self.index_of[identity], identity, zone, machine, cell, state)
-            for identity, _, zone, machine, cell, state, *_ in self.told
+            for identity, _, zone, machine, cell, state, *_ in self.entries
         ]
 
-    def rows(self, told: list[tuple]) -> list[tuple]:
-        """The list with ids as indices, for the decision module. Of those gone nothing is kept, as new ids
-        come for ever; one that comes back is a new engine."""
-        rows, index_of, place, ready, self.told = [], {}, {}, set(), told
-        for identity, address, zone, machine, cell, state, size, started_ms in told:
-            index = self.index_of[identity] if identity in self.index_of else next(self.numbers)
+    def update(self, entries: list[tuple]) -> list[tuple]:
+        """Replace the list, and return it with indices instead of ids for the decision module.
+
+        Nothing is kept of removed engines, as new ids appear indefinitely; an engine that returns under its
+        old id is a new engine.
+        """
+        rows, index_of, place, ready, self.entries = [], {}, {}, set(), entries
+        for identity, address, zone, machine, cell, state, size, started_ms in entries:
+            index = self.index_of[identity] if identity in self.index_of else next(self.indices)
             index_of[identity], place[index] = index, (index, address)
             if state == READY:
                 ready.add(index)
--- a/pathturn/memory/sessions.py
+++ b/pathturn/memory/sessions.py
@@ -1,10 +1,12 @@
-"""Clients' connections, so many at most: which one gives way, and which has held its place for nothing."""
+"""Client connections under a cap: which idle one is evicted, and which one is closed for a timeout."""
 
 from collections.abc import Callable
 from typing import Protocol
 
 
 class Held(Protocol):
+    """A client connection as `Sessions` manages it."""
+
     heard_us: int
     parted_us: int
 
@@ -15,31 +17,41 @@
 
 
 class Sessions:
-    """`held` are served; `parting` have been ended from this side and are read on to their clients' end, so
-    many at most, out of the descriptors that are lent to nobody."""
+    """The client connections being served, and those half-closed by the gateway.
+
+    A half-closed connection is read until the client closes it. These have a limit of their own and use
+    descriptors that are reserved for them.
+    """
 
-    def __init__(self, cap: int, parting: int, clock: Callable[[], int]) -> None:
-        self.cap, self.most_parting, self.clock = cap, parting, clock
+    def __init__(self, cap: int, max_half_closed: int, clock: Callable[[], int]) -> None:
+        self.cap = cap
+        self.most_parting = max_half_closed
+        self.clock = clock
         self.held: set[Held] = set()
         self.parting: dict[Held, None] = {}
 
     def enter(self, session: Held) -> bool:
-        """Accepting never stops: at the cap whoever has been idle longest gives way, else the newcomer."""
+        """Add a connection; at the cap the one idle for longest is evicted, or the new one refused if none
+        is idle. Accepting itself never pauses."""
         if len(self.held) >= self.cap:
             longest = self._longest_idle()
             if longest is None:
                 return False
-            self._part(longest, "gave_way")
+            self._close(longest, "evicted")
         self.held.add(session)
         return True
 
     def _longest_idle(self) -> Held | None:
-        """Asked in the order of their idle times: a look at a socket costs far more than sorting, and a
-        hundred connections may be accepted in one turn of the event loop."""
+        """Return the connection that has been idle for longest, if any.
+
+        Checked in order of idle time: checking a socket costs far more than sorting, and a hundred
+        connections may be accepted in one iteration of the event loop.
+        """
         by_idle_time = sorted(self.held, key=lambda each: each.heard_us)
         return next((each for each in by_idle_time if each.at_rest()), None)
 
     def leave(self, session: Held) -> None:
+        """Remove a connection that has ended."""
         self.held.discard(session)
         self.parting.pop(session, None)
 
@@ -47,21 +59,24 @@
         return len(self.held) + len(self.parting)
 
     def busy(self) -> bool:
-        """Whether something would be lost if all ended now."""
+        """Return whether closing all connections now would lose anything."""
         return not all(each.at_rest() for each in self.held)
 
     def part(self, code: str) -> None:
+        """Half-close all connections."""
         for each in list(self.held):
             each.part(code)
 
     def prune(self) -> None:
+        """Close the connections whose idle, read or linger timeout has expired."""
         now = self.clock()
         for session in [*self.held, *self.parting]:
             if (code := session.overdue(now)) is not None:
-                self._part(session, code)
+                self._close(session, code)
 
-    def _part(self, session: Held, code: str) -> None:
-        """From this side first; for good where that was done long ago, or too many are under way."""
+    def _close(self, session: Held, code: str) -> None:
+        """Half-close a connection, or close it fully if it is half-closed already. Beyond the limit the
+        connection half-closed for longest is closed fully too."""
         if session.parted_us:
             self.leave(session)
             session.end(code)
--- a/pathturn/process/__init__.py
+++ b/pathturn/process/__init__.py
@@ -0,0 +1,1 @@
+"""Assembly of a gateway process: settings, limits, logging, start and shutdown."""
--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -1,4 +1,4 @@
-"""Puts a gateway together, starts it, and stops it when asked to."""
+"""A gateway process: assembly, the greenlets that run it, reload and shutdown."""
 
 import gc
 import traceback
@@ -30,35 +30,48 @@
     from pathturn.config.installation import Installation
     from pathturn.process.operator import Operator
 
-PRUNE_S = 0.25
-# A process with a part of a core stands still for tens of milliseconds; no stall that matters is missed.
-BEAT_S = STANDSTILL_US / 2 / 1e6
-# The protocol's figures: batches still come in for this long after SIGTERM, and the kill follows once the
-# longest time limit has passed as well, a longer one counted as this.
-STILL_COMING_S, LONGEST_S = 0.7, 3.0
-# By which parts of it batches are ended, their answers written, and connections closed from both sides.
-ENDED, WRITTEN, PARTED = 13 / 16, 14 / 16, 15 / 16
-# Once such a limit has passed: enough to read what has come, to run a round, and to write the answers.
-STEPS_AFTER_LIMIT = 8
+PRUNE_INTERVAL_S = 0.25
+# Half the threshold, so that no longer stall is missed. Shorter stalls are normal: with a fraction of a core
+# the process gets no CPU for tens of milliseconds at a time.
+HEARTBEAT_INTERVAL_S = STANDSTILL_US / 2 / 1e6
+# The protocol's figures: batches still arrive for this long after SIGTERM. SIGKILL follows once the longest
+# time limit of a service group has passed as well; limits longer than the maximum count as the maximum.
+STILL_COMING_S = 0.7
+LONGEST_S = 3.0
+# Shares of the time left by which the batches are ended, their answers written, and the connections closed
+# by both sides.
+BATCHES_ENDED_SHARE = 13 / 16
+WRITTEN = 14 / 16
+CONNECTIONS_CLOSED_SHARE = 15 / 16
+# Intervals allowed after such a wait has timed out: enough to read what has arrived, to run a round, and to
+# write the answers.
+INTERVALS_AFTER_TIMEOUT = 8
+DEFAULT_ROUND_INTERVAL_US = 1000
+DEFAULT_ENGINE_IDLE_TIMEOUT_US = 1_000_000
+DEFAULT_DIAL_TIMEOUT_US = 250_000
 
 
 class GatewayProcess:
-    def __init__(self, told: dict[str, Any], installation: "Installation | None" = None) -> None:
-        settings, self.clock = told["settings"], unix_clock()
-        self.log = Log(told["name"], installation.log if installation else "plain")
+    """One gateway with all its parts; `server.start()` makes it accept clients, `run()` serves them."""
+
+    def __init__(self, config: dict[str, Any], installation: "Installation | None" = None) -> None:
+        settings = config["settings"]
+        self.clock = unix_clock()
+        self.log = Log(config["name"], installation.log if installation else "plain")
         limits = settings.get("limits") or {}
-        decider, groups = build(int(told["seed"], 16), settings)
-        self.step_s = (settings.get("stepUs") or 1000) / 1e6
+        decider, groups = build(int(config["seed"], 16), settings)
+        self.step_s = (settings.get("stepUs") or DEFAULT_ROUND_INTERVAL_US) / 1e6
         self.facade = Facade(
             decider, groups, self.clock, bool((settings.get("domain") or {}).get("costInAnswers")), self.log
         )
-        clients, engines = shares(told["limits"]["sockets"])
-        self.longest_line = longest_line(told["limits"]["memory_mb"], clients)
-        self.buffers, self.sessions = Buffers(), Sessions(clients, PARTING, self.clock)
+        client_limit, engine_limit = shares(config["limits"]["sockets"])
+        self.longest_line = longest_line(config["limits"]["memory_mb"], client_limit)
+        self.buffers = Buffers()
+        self.sessions = Sessions(client_limit, PARTING, self.clock)
         self.pools = Pools(
-            engines,
-            limits.get("idleCloseUs") or 1_000_000,
-            limits.get("dialTimeoutUs") or 250_000,
+            engine_limit,
+            limits.get("idleCloseUs") or DEFAULT_ENGINE_IDLE_TIMEOUT_US,
+            limits.get("dialTimeoutUs") or DEFAULT_DIAL_TIMEOUT_US,
             self.clock,
             lambda place, dial_s: Line(place, dial_s, self.buffers, self.log),
             self.log,
@@ -67,10 +80,11 @@
         self.engines = Engines(
             self.facade, self.pools, self.clock, report.get("fields") or [], bool(limits.get("secondCopies"))
         )
-        self.asked_to_stop, self.parts = Event(), Group()
-        serial, rows = directory.known(told["known"])
+        self.asked_to_stop = Event()
+        self.parts = Group()
+        serial, rows = directory.known(config["known"])
         self.facade.listing(names.CACHED, rows)
-        self.names = directory.address(told["names"])
+        self.names = directory.address(config["names"])
         self.lookup = Lookup(
             self.facade,
             settings.get("discovery") == "ask",
@@ -80,32 +94,36 @@
         )
         self.operator: Operator | None = None
         if installation is not None:
-            from pathturn.process import operator  # what is not enabled is not imported
+            from pathturn.process import operator  # imported only if enabled, to save memory and start time
 
             self.operator = operator.Operator(
-                installation, self.facade, settings, clients, self.clock, self.log
+                installation, self.facade, settings, client_limit, self.clock, self.log
             )
-        self.server = Door(directory.address(told["listen"]), self._admit, self._client)
+        self.server = Door(directory.address(config["listen"]), self._admit, self._serve_client)
 
     def run(self) -> None:
-        """Serves, once its server has been started, until a stop is asked for and nothing taken is open."""
+        """Serve until a stop is requested, then shut down; the server must have been started."""
         self.lookup.follow(self.names)
         for part in (
-            self._rounds,
-            self._beat,
-            self._prune,
+            self._round_loop,
+            self._heartbeat_loop,
+            self._prune_loop,
             *(self.operator.parts() if self.operator is not None else ()),
         ):
             self.parts.spawn(part)
-        # What is there by now stays: the collector's longest passes need not go over it again and again.
+        # Objects that exist by now live as long as the process: exempt them from garbage collection, which
+        # would scan them in each of its full passes.
         gc.freeze()
         self.log("ready")
         self.asked_to_stop.wait()
-        self._finish()
+        self._shut_down()
 
     def reload(self, read: Callable[[], dict[str, Any]]) -> None:
-        """SIGHUP: another directory may be named. What cannot be used, as a file that is still being written,
-        leaves everything as it is; what is open goes on in any case."""
+        """Switch to the discovery address of the configuration read anew, on SIGHUP.
+
+        Open batches are not affected. An unusable configuration, such as a file still being written, is
+        logged and changes nothing.
+        """
         try:
             address = directory.address(read()["names"])
         except Exception as fault:  # noqa: BLE001 - whatever is in that file, the gateway goes on serving
@@ -116,17 +134,18 @@
             self.names = address
             self.lookup.follow(address)
 
-    def _rounds(self) -> None:
-        """One round for all that came in within the settings' step."""
+    def _round_loop(self) -> None:
+        """Run one round for all events that arrive within the round interval of the settings."""
         while True:
             self.facade.wait()
-            # After a standstill the loop's timers come before what lies in the sockets, and a round run right
-            # away would take every engine for silent. The second sleep lets that turn's readers run out.
+            # After a stall the event loop runs its timers before it reads the sockets. A round run at once
+            # would miss the engines' responses and treat every engine as silent. The second sleep lets the
+            # greenlets that were woken to read finish first.
             gevent.sleep(self.step_s)
             gevent.sleep(0)
             try:
                 self.facade.tick()
-            except Exception:  # noqa: BLE001 - the other batches are owed their answers whatever went wrong
+            except Exception:  # noqa: BLE001 - the other batches must be answered whatever went wrong
                 self.log("round failed: " + traceback.format_exc().replace("\n", " | "))
 
     def _admit(self, link: socket.socket, peer: tuple[str, int]) -> Session | None:
@@ -140,55 +159,56 @@
         )
         if self.sessions.enter(session):
             return session
-        self.log(f"client {peer[0]}:{peer[1]} taken=0 code=no_room")
+        self.log(f"client {peer[0]}:{peer[1]} batches=0 code=connection_limit")
         return None
 
-    def _client(self, session: Session, peer: tuple[str, int]) -> None:
+    def _serve_client(self, session: Session, peer: tuple[str, int]) -> None:
         code = session.serve()
         self.sessions.leave(session)
-        self.log(f"client {peer[0]}:{peer[1]} taken={session.taken} code={code}")
+        self.log(f"client {peer[0]}:{peer[1]} batches={session.taken} code={code}")
 
-    def _beat(self) -> None:
+    def _heartbeat_loop(self) -> None:
         while True:
             self.facade.beat()
-            gevent.sleep(BEAT_S)
+            gevent.sleep(HEARTBEAT_INTERVAL_S)
 
-    def _prune(self) -> None:
+    def _prune_loop(self) -> None:
         while True:
-            gevent.sleep(PRUNE_S)
+            gevent.sleep(PRUNE_INTERVAL_S)
             self.pools.prune()
             self.sessions.prune()
 
-    def _finish(self) -> None:
-        """Whatever was taken is owed an answer, and before the kill: a batch that has longer is ended."""
+    def _shut_down(self) -> None:
+        """Answer every open batch before the SIGKILL that follows; batches with later deadlines end early."""
         self.log("stopping")
         if self.operator is not None:
             self.operator.stop()
         gevent.sleep(STILL_COMING_S)
-        self._close_door()
+        self._close_listener()
         left_s = min(LONGEST_S, max(group.limit_us for group in self.facade.groups.values()) / 1e6)
-        self.facade.stop(int(ENDED * left_s * 1e6))
-        self._wait(WRITTEN * left_s, lambda: len(self.facade.batches) or self.sessions.busy())
+        self.facade.stop(int(BATCHES_ENDED_SHARE * left_s * 1e6))
+        self._wait_while(WRITTEN * left_s, lambda: len(self.facade.batches) or self.sessions.busy())
         self.sessions.part("stopped")
-        self._wait((PARTED - WRITTEN) * left_s, lambda: len(self.sessions))
+        self._wait_while((CONNECTIONS_CLOSED_SHARE - WRITTEN) * left_s, lambda: len(self.sessions))
         if self.operator is not None:
             self.operator.close()
         self.log(f"stopped open={len(self.facade.batches)} clients={len(self.sessions)}")
 
-    def _close_door(self) -> None:
+    def _close_listener(self) -> None:
         try:
             self.server.close_after_all()
         except OSError as fault:
             self.log(f"listener code=lost_{type(fault).__name__}")
 
-    def _wait(self, seconds: float, on: Callable[[], object]) -> None:
-        with gevent.Timeout(seconds, False):
+    def _wait_while(self, timeout_s: float, condition: Callable[[], object]) -> None:
+        """Wait until the condition is false, checking it once an interval, or until the timeout."""
+        with gevent.Timeout(timeout_s, False):
             while True:
-                gevent.sleep(self.step_s)  # first: connections just accepted have not been looked at
-                if not on():
+                gevent.sleep(self.step_s)  # first, since connections just accepted have not been read yet
+                if not condition():
                     return
-        # Over a stall the limit's timer comes before what lies in the sockets is read.
-        for _ in range(STEPS_AFTER_LIMIT):
-            if not on():
+        # After a stall the timeout fires before the sockets are read, so the condition may be outdated.
+        for _ in range(INTERVALS_AFTER_TIMEOUT):
+            if not condition():
                 return
             gevent.sleep(self.step_s)
--- a/pathturn/process/limits.py
+++ b/pathturn/process/limits.py
@@ -1,20 +1,28 @@
-"""What each side may hold under the limits on descriptors and memory."""
+"""Shares of the process's limits on descriptors and memory."""
 
-# Lent to nobody, so that neither clients nor engines can take them: standard streams, the event loop's own,
-# the listener, the connection just accepted, the directory's sockets, a configuration being read anew; and
-# clients' connections that this side has ended and that wait for their clients' own end.
-OWN, PARTING = 20, 12
-# A line with a statement takes some hundred bytes; even where all clients stop short within one, their lines
-# take no more than this part of the memory together.
-LONGEST_LINE, SHORTEST_LINE, LINES_PART = 65_536, 8_192, 16
+# Reserved, so that neither clients nor engines can use them: standard streams, the event loop's own, the
+# listener, a connection just accepted, discovery sockets, a configuration file being read.
+RESERVED_DESCRIPTORS = 20
+# Client connections half-closed by the gateway that wait for the client's own close.
+PARTING = 12
+# A line with a statement takes some hundred bytes. Even if all clients stop within a line, their incomplete
+# lines together take no more than this fraction of the memory.
+LONGEST_LINE = 65_536
+MIN_LINE_LIMIT_BYTES = 8_192
+LINE_MEMORY_DIVISOR = 16
 
 
 def shares(sockets: int) -> tuple[int, int]:
-    """For clients and for engines. The usual clients hold no more than a third by the protocol; the others,
-    of whom hundreds may come at once, are seen off from what is beyond that."""
+    """Return the limits of client and of engine connections.
+
+    By the protocol regular clients hold at most a third of the descriptors. The rest of the clients' share
+    serves to evict the others, of which hundreds may connect at once.
+    """
     clients = sockets * 9 // 20
-    return clients, max(1, sockets - clients - OWN - PARTING)
+    return clients, max(1, sockets - clients - RESERVED_DESCRIPTORS - PARTING)
 
 
 def longest_line(memory_mb: int, clients: int) -> int:
-    return max(SHORTEST_LINE, min(LONGEST_LINE, (memory_mb << 20) // LINES_PART // max(1, clients)))
+    """Return the longest line accepted from a client, in bytes."""
+    per_client_bytes = (memory_mb << 20) // LINE_MEMORY_DIVISOR // max(1, clients)
+    return max(MIN_LINE_LIMIT_BYTES, min(LONGEST_LINE, per_client_bytes))
--- a/pathturn/process/log.py
+++ b/pathturn/process/log.py
@@ -1,7 +1,7 @@
-"""The log: lines to standard error, so many a second and then a count of the rest.
+"""Log to standard error with a rate limit and a count of the lines dropped.
 
-Plain lines by print, as the platform reads them; console or JSON lines by structlog, imported only where an
-operator's file asks for it, since it alone takes half as much memory as a gateway.
+Plain lines are printed directly, in the form that the platform reads. Console and JSON lines use structlog,
+imported only if an operator's file asks for it: it takes half as much memory as a whole gateway.
 """
 
 import re
@@ -10,16 +10,21 @@
 from collections.abc import Callable
 from typing import Any
 
-# A crash of an engine ends some hundred connections at once; more lines than these tell no more.
+# The crash of an engine ends some hundred connections at once; more lines than these add no information.
 LINES_A_SECOND = 40
-FIELD = re.compile(r"(?<!\S)(\w+)=(\S+)")
+FIELD_PATTERN = re.compile(r"(?<!\S)(\w+)=(\S+)")
 
 
 class Log:
-    def __init__(self, name: str, form: str = "plain") -> None:
-        self.name, self.second, self.printed, self.dropped = name, 0, 0, 0
-        self.quiet = False  # where a live line has the screen
-        self._print = self._plain if form == "plain" else structured(name, form)
+    """Writes log lines; call it with the text of one."""
+
+    def __init__(self, name: str, log_format: str = "plain") -> None:
+        self.name = name
+        self.second = 0
+        self.printed = 0
+        self.dropped = 0
+        self.quiet = False  # set by commands that show a status line on the terminal
+        self._print = self._plain if log_format == "plain" else structured_printer(name, log_format)
 
     def __call__(self, text: str) -> None:
         if self.quiet:
@@ -27,8 +32,10 @@
         second = int(time.time())
         if second != self.second:
             if self.dropped:
-                self._print(f"log {self.dropped} lines left out")
-            self.second, self.printed, self.dropped = second, 0, 0
+                self._print(f"log rate limit dropped={self.dropped}")
+            self.second = second
+            self.printed = 0
+            self.dropped = 0
         if self.printed >= LINES_A_SECOND:
             self.dropped += 1
             return
@@ -39,20 +46,22 @@
         print(f"{time.time():.3f} {self.name} {text}", file=sys.stderr)
 
 
-def fields(text: str) -> tuple[str, dict[str, Any]]:
-    """A line as its event and its fields; `reason` takes the rest of the line, as it holds words."""
+def parse_fields(text: str) -> tuple[str, dict[str, Any]]:
+    """Split a line into its event and its `key=value` fields. `reason` has spaces, so it takes the rest of
+    the line."""
     text, found, reason = text.partition(" reason=")
-    told = dict(FIELD.findall(text))
-    event = FIELD.sub("", text).strip()
-    return " ".join(event.split()), told | ({"reason": reason} if found else {})
+    parsed = dict(FIELD_PATTERN.findall(text))
+    event = FIELD_PATTERN.sub("", text).strip()
+    return " ".join(event.split()), parsed | ({"reason": reason} if found else {})
 
 
-def structured(name: str, form: str) -> Callable[[str], None]:
+def structured_printer(name: str, log_format: str) -> Callable[[str], None]:
+    """Return a function that prints a line by structlog, as JSON or for a console."""
     import structlog
 
     renderer = (
         structlog.processors.JSONRenderer()
-        if form == "json"
+        if log_format == "json"
         else structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     )
     logger = structlog.wrap_logger(
@@ -61,7 +70,7 @@
     ).bind(gateway=name)
 
     def print_line(text: str) -> None:
-        event, told = fields(text)
-        logger.msg(event, **told)
+        event, parsed = parse_fields(text)
+        logger.msg(event, **parsed)
 
     return print_line
--- a/pathturn/process/operator.py
+++ b/pathturn/process/operator.py
@@ -1,5 +1,7 @@
-"""Puts together what an operator's file enables: ledger, changes, background work, control socket. Imported
-only where one is named, so that plain `serve` pays nothing for it."""
+"""Assembly of the parts that an operator's file enables: ledger, changes, background jobs, control socket.
+
+Imported only if such a file is named, so that plain `serve` pays neither time nor memory for it.
+"""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -18,38 +20,48 @@
 
 
 class Operator:
+    """Routing changes at run time and the control socket for them."""
+
     def __init__(
         self,
-        told: Installation,
+        installation: Installation,
         facade: Facade,
         settings: dict[str, Any],
         clients: int,
         clock: Callable[[], int],
         log: Callable[[str], None],
     ) -> None:
-        """Raises what makes the operator's part unusable; nothing of it is in force then."""
-        self.facade, self.most_open = facade, clients * MOST_OPEN
-        self.further = further_share(settings)
-        # Events that wait for a round are traffic; so is a core that is behind its own clock.
+        """Raise an exception if the files can't be used; nothing is in force then."""
+        self.facade = facade
+        self.max_open_batches = clients * MOST_OPEN
+        self.retry_share = further_share(settings)
+        # Events that wait for a round count as traffic, and background jobs wait for them.
         self.scheduler = Scheduler(clock, lambda: bool(facade.events))
-        self.ledger = Ledger(Path(told.ledger))
+        self.ledger = Ledger(Path(installation.ledger))
         self.conductor = Conductor(facade, self.ledger, self.scheduler, self.facts, clock, log)
-        self.conductor.start(Path(told.document))
-        self.control = Control(Path(told.control), Calls(self.conductor), log) if told.control else None
+        self.conductor.start(Path(installation.document))
+        self.control = (
+            Control(Path(installation.control), Calls(self.conductor), log) if installation.control else None
+        )
 
     def facts(self) -> Facts:
-        return Facts(self.facade.groups, tuple(self.facade.roster.seats), self.further, self.most_open)
+        """Return what a routing document is validated against."""
+        return Facts(
+            self.facade.groups, tuple(self.facade.roster.seats), self.retry_share, self.max_open_batches
+        )
 
     def parts(self) -> list[Callable[[], None]]:
-        """What runs beside the gateway's own parts."""
+        """Start the control socket; return the functions to run in greenlets of their own."""
         if self.control is not None:
             self.control.start()
         return [self.scheduler.run, self.conductor.run]
 
     def stop(self) -> None:
+        """Undo a change on trial; no further one is accepted."""
         self.conductor.stop()
 
     def close(self) -> None:
+        """Close the control socket and the ledger."""
         if self.control is not None:
             self.control.stop()
         self.ledger.close()
--- a/pathturn/process/settings.py
+++ b/pathturn/process/settings.py
@@ -1,12 +1,14 @@
-"""Turns the wire's settings into the decision module's own few arguments; unknown ones are skipped."""
+"""Translation of the platform's settings to the decision module's arguments; unknown settings are ignored."""
 
 from typing import Any
 
 from pathturn.core import interface as names
 from pathturn.core.choice import Gateway
 
-KINDS = {"retryable": names.REPEATABLE, "dedup": names.REFERENCED, "fragile": names.ONCE_ONLY}
-FIELDS = {
+# Service group kind by the setting `effect`.
+KIND_BY_EFFECT = {"retryable": names.REPEATABLE, "dedup": names.REFERENCED, "fragile": names.ONCE_ONLY}
+# Load figure by its name in the setting `report.fields`.
+LOAD_BY_REPORT_FIELD = {
     "concurrent": "held",
     "load_share": "utilisation",
     "depth": "waiting",
@@ -15,28 +17,29 @@
 }
 
 
-def _places(values: list[str] | None) -> frozenset[str] | None:
+def _optional_set(values: list[str] | None) -> frozenset[str] | None:
     return None if values is None else frozenset(values)
 
 
 def _per_group(domain: dict[str, Any], key: str, index: int, default: Any) -> Any:
+    """Return a group's value of a setting that lists one for each group."""
     values = domain.get(key) or []
     return values[index] if index < len(values) else default
 
 
-def _group(entry: dict[str, Any], index: int, domain: dict[str, Any]) -> names.ServiceGroup:
+def _service_group(entry: dict[str, Any], index: int, domain: dict[str, Any]) -> names.ServiceGroup:
     return names.ServiceGroup(
         goal_us=entry["promiseUs"],
         goal_stretch=entry.get("aimStretch") or 0.0,
         limit_us=entry["deadlineUs"],
         utility=entry.get("worth", 1.0),
         late_utility=entry.get("lateValue", 0.0),
-        kind=KINDS[entry["effect"]],
+        kind=KIND_BY_EFFECT[entry["effect"]],
         repeat_scope=entry.get("group") or "all",
         repeat_span_us=entry.get("memorySpanUs") or 0,
         in_order=bool(entry.get("inTurn")),
-        zones=_places(entry.get("staysIn")),
-        machines=_places(entry.get("servedOn")),
+        zones=_optional_set(entry.get("staysIn")),
+        machines=_optional_set(entry.get("servedOn")),
         threads=_per_group(domain, "widthByClass", index, 1),
         holds_set=_per_group(domain, "isLoad", index, False),
         waits_for_set=_per_group(domain, "yieldsToLoads", index, False),
@@ -44,19 +47,22 @@
 
 
 def further_share(config: dict[str, Any]) -> float | None:
-    """The share of further dispatches that the settings allow; None where they state no budget."""
+    """Return how many retries the settings allow for each batch; None if they set no retry budget."""
     rules = config.get("rules") or {}
     return (rules.get("extraPerRequest") or 0.0) if rules.get("budgetSpanUs") else None
 
 
 def build(seed: int, config: dict[str, Any]) -> tuple[Gateway, dict[str, names.ServiceGroup]]:
-    """A gateway's decisions, and its service groups by their names, in the order of their indices."""
-    domain, limits, rules = config.get("domain") or {}, config.get("limits") or {}, config.get("rules") or {}
+    """Build the decision module; return it and the service groups by name, in the order of their indices."""
+    domain = config.get("domain") or {}
+    limits = config.get("limits") or {}
+    rules = config.get("rules") or {}
     report = config.get("report") or {}
-    entries, kinds = config.get("classes") or [], config.get("kinds") or []
-    groups = {entry["name"]: _group(entry, index, domain) for index, entry in enumerate(entries)}
+    entries = config.get("classes") or []
+    machine_kinds = config.get("kinds") or []
+    groups = {entry["name"]: _service_group(entry, index, domain) for index, entry in enumerate(entries)}
     if not groups:
-        raise ValueError("settings name no service group")
+        raise ValueError("settings define no service group: `classes` is empty or missing")
     budget = None
     if rules.get("budgetSpanUs"):
         budget = (rules.get("freeResends") or 0, further_share(config), rules["budgetSpanUs"])
@@ -65,11 +71,11 @@
         instance=config.get("ordinal", 0),
         gateways=config.get("siblings", 1),
         groups=list(groups.values()),
-        cores=dict(zip(kinds, domain.get("coresByKind") or [])),
+        cores=dict(zip(machine_kinds, domain.get("coresByKind") or [])),
         grants=bool(domain.get("takesGrants")),
         pages=domain.get("onShortage") == "page",
         note_us=domain.get("progressUs") or 0,
-        report_fields=[FIELDS.get(field, field) for field in report.get("fields") or []],
+        report_fields=[LOAD_BY_REPORT_FIELD.get(field, field) for field in report.get("fields") or []],
         probes=report.get("how") == "probe" and bool(limits.get("probing")),
         ask_list=config.get("discovery") == "ask",
         max_dispatches=limits.get("maxAttempts") or 1,
--- a/pathturn/process/start.py
+++ b/pathturn/process/start.py
@@ -1,5 +1,8 @@
-"""From a configuration file to a running gateway. Without the command line's libraries: those alone take two
-thirds of the CPU of a start, and a fleet starts some hundred gateways at once."""
+"""Start of a gateway from a configuration file.
+
+Does without the command line's libraries: they alone take two thirds of the CPU time of a start, and a fleet
+starts some hundred gateways at once.
+"""
 
 import signal
 import sys
@@ -11,32 +14,36 @@
 
 from pathturn.process.gateway import GatewayProcess
 
-UNUSABLE = 2
+EXIT_UNUSABLE_CONFIG = 2
 
 
 def read(config: Path | None) -> dict[str, Any]:
+    """Read a configuration file."""
     if config is None:
-        raise ValueError("neither an argument nor EDGE_CONFIG names a file")
+        raise ValueError("no configuration file: give an argument or set EDGE_CONFIG")
     return orjson.loads(config.read_bytes())
 
 
 def serve(config: Path | None, operator: Path | None) -> None:
-    """Runs one gateway until SIGTERM; SIGHUP has it read its configuration again. Ends with code 2 and one
-    line where the configuration cannot be used."""
-    # Before the configuration is read: what comes from then on is kept until the event loop runs.
+    """Run a gateway until SIGTERM; SIGHUP makes it read its configuration again.
+
+    Exits with code 2 and a one-line message if the configuration can't be used.
+    """
+    # Installed before the configuration is read: signals are kept from here on until the event loop runs.
     gevent.signal_handler(signal.SIGTERM, lambda: gateway.asked_to_stop.set())
     gevent.signal_handler(signal.SIGHUP, lambda: gateway.reload(lambda: read(config)))
     try:
         gateway = GatewayProcess(read(config), _installation(operator))
         gateway.server.start()
-    except Exception as fault:  # noqa: BLE001 - whatever a file holds, whoever starts it gets one line
+    except Exception as fault:  # noqa: BLE001 - whatever the files hold, the caller gets a one-line message
         print(unusable(fault), file=sys.stderr)
-        raise SystemExit(UNUSABLE) from None
+        raise SystemExit(EXIT_UNUSABLE_CONFIG) from None
     gateway.run()
 
 
 def unusable(fault: Exception) -> str:
-    return f"pathturn: the configuration cannot be used: {type(fault).__name__}: {fault}"
+    """Return the message for a configuration that can't be used."""
+    return f"pathturn: invalid configuration: {type(fault).__name__}: {fault}"
 
 
 def _installation(operator: Path | None) -> Any:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -285,7 +285,7 @@
     log("next")
     lines = capsys.readouterr().err.splitlines()
     assert len(lines) == LINES_A_SECOND + 2
-    assert lines[-2].endswith("log 3 lines left out") and lines[-1].endswith("n0 next")
+    assert lines[-2].endswith("log rate limit dropped=3") and lines[-1].endswith("n0 next")
 
 
 def test_commands_tell_what_a_gateway_would_read(rig, tmp_path) -> None:
