--- a/benchmarks/change_wire.py
+++ b/benchmarks/change_wire.py
@@ -126,7 +126,7 @@
     return {
         "longest_stall_ms": max(min(gap) for gap, _ in runs),
         "longest_gap_ms": max(gap[0] for gap, _ in runs),
-        "longest_slice_ms": round(gateway.operator.scheduler.longest_us / 1000, 2),
+        "longest_slice_ms": round(gateway.operator.scheduler.longest_slice_us / 1000, 2),
         "longest_stall_ms_in_one_go": beat.taken()[0],
         "staged_10k_s": round(runs[0][1], 2),
     }
--- a/pathturn/background/scheduler.py
+++ b/pathturn/background/scheduler.py
@@ -1,7 +1,7 @@
-"""Runs background jobs in slices between rounds. A job is a generator that yields often and returns its
-result.
+"""Cooperative scheduler that runs background jobs in time slices between decision rounds. A job is a generator
+that yields often and returns its result.
 
-Choices are in `choose`; here are the greenlet, the clock and the jobs' results.
+Which job runs next is decided in `job_selection`; here are the greenlet, the clock and the results of the jobs.
 """
 
 import gc
@@ -13,116 +13,137 @@
 import gevent
 from gevent.event import AsyncResult, Event
 
-from pathturn.background.choose import Allowance, Waiting, choose, due
+from pathturn.background.job_selection import CpuBudget, QueuedJob, deadline_is_near, select_job
 
-SHARE, BURST_US = 0.25, 20_000  # of the core; so much at once where nothing else wants it
-SLICE_US = 1_000  # a job gives way after this much, however often it yields
-SET_ASIDE_US = 300  # slices under it leave next to nothing
-SOON_US = 200_000  # a deadline this near goes before priorities and before the allowance
-YIELD_S = 0.001
-MOST_PASSED = 50  # times in a row that traffic goes first: a gateway that is always busy must get there too
-MOST_JOBS = 64
+CPU_SHARE = 0.25  # of one core
+CPU_BURST_US = 20_000
+TIME_SLICE_US = 1_000  # a job is suspended at its first yield after this
+GC_FREEZE_THRESHOLD_US = 300  # shorter slices leave too few objects to matter
+DEADLINE_NEAR_US = (
+    200_000  # a job this close to its deadline is exempt from priorities and from the CPU budget
+)
+MIN_PAUSE_S = 0.001
+MAX_DEFERRALS = (
+    50  # consecutive slices deferred for traffic: jobs must progress in a gateway that is always busy
+)
+MAX_JOBS = 64
 
 
-class Cancelled(Exception):
-    """The job was called off, or came too late."""
+class JobCancelled(Exception):
+    """The job was cancelled or missed its deadline."""
 
 
-class Full(Exception):
-    """More jobs than may wait."""
+class JobQueueFull(Exception):
+    """The job was rejected because MAX_JOBS are queued."""
 
 
 class Job:
-    __slots__ = ("name", "steps", "waiting", "result")
+    """A submitted job; `result` is set when it ends."""
 
-    def __init__(self, name: str, steps: Generator[None, None, Any], waiting: Waiting) -> None:
-        self.name, self.steps, self.waiting, self.result = name, steps, waiting, AsyncResult()
+    __slots__ = ("name", "steps", "queued", "result")
+
+    def __init__(self, name: str, steps: Generator[None, None, Any], queued: QueuedJob) -> None:
+        self.name = name
+        self.steps = steps
+        self.queued = queued
+        self.result = AsyncResult()
 
 
 class Scheduler:
-    def __init__(self, clock: Callable[[], int], busy: Callable[[], bool] = lambda: False) -> None:
-        """`busy` tells whether traffic waits: then no slice starts, but for one whose deadline is near."""
-        self.clock, self.busy, self.numbers = clock, busy, count()
+    """Runs submitted jobs one time slice at a time, in the greenlet that calls `run`."""
+
+    def __init__(self, clock: Callable[[], int], traffic_waiting: Callable[[], bool] = lambda: False) -> None:
+        """While `traffic_waiting` returns true, only jobs whose deadline is near run."""
+        self.clock = clock
+        self.traffic_waiting = traffic_waiting
+        self.job_ids = count()
         self.jobs: dict[int, Job] = {}
-        self.allowance, self.came = Allowance(SHARE, BURST_US, clock()), Event()
-        self.longest_us = self.passed = 0
+        self.cpu_budget = CpuBudget(CPU_SHARE, CPU_BURST_US, clock())
+        self.job_submitted = Event()
+        self.longest_slice_us = 0
+        self.deferrals = 0
 
     def submit(
         self, name: str, steps: Generator[None, None, Any], priority: int = 5, deadline_us: int | None = None
     ) -> Job:
-        """Its `result` is there once it ended; Cancelled is raised from it where it was called off."""
-        if len(self.jobs) >= MOST_JOBS:
-            raise Full(f"{len(self.jobs)} jobs wait")
-        job = Job(name, steps, Waiting(next(self.numbers), priority, 0, deadline_us))
-        self.jobs[job.waiting.number] = job
-        self.came.set()
+        """Queue a job. Its `result` raises what the job raises, or JobCancelled if the job is cancelled."""
+        if len(self.jobs) >= MAX_JOBS:
+            raise JobQueueFull(f"background job queue is full: {len(self.jobs)} jobs queued")
+        job = Job(name, steps, QueuedJob(next(self.job_ids), priority, 0, deadline_us))
+        self.jobs[job.queued.job_id] = job
+        self.job_submitted.set()
         return job
 
-    def cancel(self, job: Job, why: str = "called off") -> None:
-        if self.jobs.pop(job.waiting.number, None) is not None:
+    def cancel(self, job: Job, reason: str = "cancelled") -> None:
+        if self.jobs.pop(job.queued.job_id, None) is not None:
             job.steps.close()
-            job.result.set_exception(Cancelled(f"{job.name}: {why}"))
+            job.result.set_exception(JobCancelled(f"{job.name}: {reason}"))
 
-    def cancel_all(self, why: str) -> None:
+    def cancel_all(self, reason: str) -> None:
         for job in list(self.jobs.values()):
-            self.cancel(job, why)
+            self.cancel(job, reason)
 
     def run(self) -> None:
+        """Run jobs for ever."""
         while True:
             if not self.jobs:
-                self.came.clear()
-                self.came.wait()
+                self.job_submitted.clear()
+                self.job_submitted.wait()
             gevent.sleep(self._pause_s())
-            self.slice()
+            self.run_slice()
 
     def _pause_s(self) -> float:
         now = self.clock()
-        if any(due(job.waiting, now, SOON_US) for job in self.jobs.values()):
-            return YIELD_S
-        return max(YIELD_S, self.allowance.ready_in(now) / 1e6)
+        if any(deadline_is_near(job.queued, now, DEADLINE_NEAR_US) for job in self.jobs.values()):
+            return MIN_PAUSE_S
+        return max(MIN_PAUSE_S, self.cpu_budget.time_until_available(now) / 1e6)
 
-    def slice(self) -> bool:
-        """One slice of the job that is chosen; whether one ran."""
+    def run_slice(self) -> bool:
+        """Run one time slice of the selected job; return whether one ran. Cancels jobs past their deadline."""
         now = self.clock()
         for job in [
             each
             for each in self.jobs.values()
-            if each.waiting.deadline_us is not None and each.waiting.deadline_us <= now
+            if each.queued.deadline_us is not None and each.queued.deadline_us <= now
         ]:
-            self.cancel(job, "deadline passed")
-        chosen = choose((job.waiting for job in self.jobs.values()), now, SOON_US)
-        if chosen is None:
+            self.cancel(job, "deadline exceeded")
+        selected = select_job((job.queued for job in self.jobs.values()), now, DEADLINE_NEAR_US)
+        if selected is None:
             return False
-        if self.busy() and not due(chosen, now, SOON_US) and self.passed < MOST_PASSED:
-            self.passed += 1
+        if (
+            self.traffic_waiting()
+            and not deadline_is_near(selected, now, DEADLINE_NEAR_US)
+            and self.deferrals < MAX_DEFERRALS
+        ):
+            self.deferrals += 1
             return False
-        self.passed = 0
-        self._step(self.jobs[chosen.number], now)
+        self.deferrals = 0
+        self._run_job(self.jobs[selected.job_id], now)
         return True
 
-    def _step(self, job: Job, now: int) -> None:
-        began, end = thread_time_ns(), thread_time_ns() + SLICE_US * 1000
-        # A pass of the collector over all that a long job makes takes longer than any slice, and would come
-        # in the middle of a round as well. What a slice leaves is set aside; it is freed by its counts as
-        # before.
+    def _run_job(self, job: Job, now: int) -> None:
+        started_ns, end_ns = thread_time_ns(), thread_time_ns() + TIME_SLICE_US * 1000
+        # A garbage collection over all objects of a long job takes longer than a time slice, and could also
+        # start in the middle of a decision round. Collection is therefore off during the slice, and what the
+        # slice leaves is frozen: excluded from collection, though still freed by its reference counts.
         gc.disable()
         try:
-            while thread_time_ns() < end:
+            while thread_time_ns() < end_ns:
                 next(job.steps)
         except StopIteration as done:
-            self._end(job)
+            self._remove(job)
             job.result.set(done.value)
-        except Exception as fault:  # noqa: BLE001 - a job's fault is its owner's to hear, no other's
-            self._end(job)
+        except Exception as fault:  # noqa: BLE001 - passed on to whoever waits for the result of this job
+            self._remove(job)
             job.result.set_exception(fault)
         finally:
-            used = (thread_time_ns() - began) // 1000
-            if used > SET_ASIDE_US:
+            used_us = (thread_time_ns() - started_ns) // 1000
+            if used_us > GC_FREEZE_THRESHOLD_US:
                 gc.freeze()
             gc.enable()
-        self.longest_us = max(self.longest_us, used)
-        self.allowance.spend(used)
-        job.waiting = job.waiting._replace(spent_us=job.waiting.spent_us + used)
+        self.longest_slice_us = max(self.longest_slice_us, used_us)
+        self.cpu_budget.spend(used_us)
+        job.queued = job.queued._replace(cpu_used_us=job.queued.cpu_used_us + used_us)
 
-    def _end(self, job: Job) -> None:
-        self.jobs.pop(job.waiting.number, None)
+    def _remove(self, job: Job) -> None:
+        self.jobs.pop(job.queued.job_id, None)
--- a/pathturn/change/conductor.py
+++ b/pathturn/change/conductor.py
@@ -14,7 +14,7 @@
 from msgspec import Raw
 from msgspec.structs import replace
 
-from pathturn.background.scheduler import Full, Scheduler
+from pathturn.background.scheduler import JobQueueFull, Scheduler
 from pathturn.change import states
 from pathturn.change.guard import BESIDE, LEFT, TOUCHED, Before, Ended, Finding, Guard
 from pathturn.change.ledger import Ledger, Unwritten, digest
@@ -306,7 +306,7 @@
         """The change has ended; the table that nobody goes by any more is freed in the background, as a large
         one takes twenty milliseconds."""
         self.change = self.table = self.guard = None
-        with suppress(Full):
+        with suppress(JobQueueFull):
             self.scheduler.submit("free", useless.dismantle(), USUAL)
 
     # The disk in a thread of its own, long work in the background.
--- a/pathturn/control/protocol.py
+++ b/pathturn/control/protocol.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pathturn.background.scheduler import Cancelled, Full
+from pathturn.background.scheduler import JobCancelled, JobQueueFull
 from pathturn.change.conductor import Request, shown
 from pathturn.change.ledger import Broken, Unwritten
 from pathturn.change.states import Change, Refused
@@ -77,7 +77,7 @@
                 f"{len(fault.faults)} faults",
                 faults=[each._asdict() for each in fault.faults],
             )
-        except (Unwritten, Broken, Cancelled, Full) as fault:
+        except (Unwritten, Broken, JobCancelled, JobQueueFull) as fault:
             return fault_line(number, UNDONE, str(fault))
         except TypeError as fault:
             return fault_line(number, UNUSABLE, str(fault))
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from pathturn.background.choose import Allowance, Waiting, choose
-from pathturn.background.scheduler import Cancelled, Scheduler
+from pathturn.background.job_selection import CpuBudget, QueuedJob, select_job
+from pathturn.background.scheduler import JobCancelled, Scheduler
 from pathturn.config.document import Document, Pool, Route
 from pathturn.config.read import Unusable, canonical, parse, parsing, read, reading, through
 from pathturn.core.interface import DRAINING, REFERENCED, REPEATABLE, Seat, ServiceGroup
@@ -314,16 +314,20 @@
         assert within <= burst + 5
 
 
-def test_the_most_urgent_job_runs_first_and_a_near_deadline_before_it() -> None:
-    jobs = [Waiting(1, 5), Waiting(2, 1, 900), Waiting(3, 1, 100), Waiting(4, 9, 0, 1_100)]
-    assert choose(jobs, 0, 200).number == 3 and choose(jobs, 1_000, 200).number == 4
-    assert choose([], 0, 1) is None
-    left = Allowance(0.2, 10_000, 0)
-    left.spend(30_000)
-    assert left.ready_in(0) == 100_001 and left.ready_in(99_999) > 0 and left.ready_in(100_010) == 0
+def test_jobs_run_by_priority_then_cpu_used_and_a_near_deadline_goes_first() -> None:
+    jobs = [QueuedJob(1, 5), QueuedJob(2, 1, 900), QueuedJob(3, 1, 100), QueuedJob(4, 9, 0, 1_100)]
+    assert select_job(jobs, 0, 200).job_id == 3 and select_job(jobs, 1_000, 200).job_id == 4
+    assert select_job([], 0, 1) is None
+    budget = CpuBudget(0.2, 10_000, 0)
+    budget.spend(30_000)
+    assert (
+        budget.time_until_available(0) == 100_001
+        and budget.time_until_available(99_999) > 0
+        and budget.time_until_available(100_010) == 0
+    )
 
 
-def test_jobs_give_their_results_are_called_off_and_fail_alone() -> None:
+def test_jobs_return_results_can_be_cancelled_and_fail_independently() -> None:
     clock = [0]
     busy = [True]
     scheduler = Scheduler(lambda: clock[0], lambda: busy[0])
@@ -337,14 +341,14 @@
 
     good, bad = scheduler.submit("good", job(7)), scheduler.submit("bad", job(KeyError("x")))
     late, off = scheduler.submit("late", job(1), deadline_us=10_000_000), scheduler.submit("off", job(1))
-    assert not scheduler.slice(), "traffic goes first"
+    assert not scheduler.run_slice(), "traffic goes first"
     busy[0] = False
     scheduler.cancel(off)
     clock[0] = 20_000_000
     while scheduler.jobs:
-        scheduler.slice()
+        scheduler.run_slice()
     assert good.result.get() == 7
-    for failed, kind in ((bad, KeyError), (late, Cancelled), (off, Cancelled)):
+    for failed, kind in ((bad, KeyError), (late, JobCancelled), (off, JobCancelled)):
         with pytest.raises(kind):
             failed.result.get()
 
