--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -22,8 +22,8 @@
 from pathturn.change.states import Change
 from pathturn.config.document import ChangePolicy, Document, Match, Pool, Route
 from pathturn.config.read import canonical, through
-from pathturn.routing.index import Index
-from pathturn.routing.table import boxes
+from pathturn.routing.index import RouteIndex
+from pathturn.routing.table import match_boxes
 
 Say = Callable[[str], None]
 BEFORE = "115e5be"  # the build without routes and changes
@@ -226,13 +226,13 @@
     per = {number: _lookup_us(number, 20_000 if quick else 100_000) for number in (100, 10_000)}
     document = routes(10_000)
     asked = _asked(10_000, 40 if quick else 200)
-    plain = list(boxes(document))
+    plain = list(match_boxes(document))
     began = time.perf_counter()
     expected = [scan(plain, *each) for each in asked]
     linear = (time.perf_counter() - began) / len(asked) * 1e6
-    index = Index(("look", "pay", "load"))
-    through(index.build(boxes(document)))
-    if [index.first(*each) for each in asked] != expected:
+    index = RouteIndex(("look", "pay", "load"))
+    through(index.build(match_boxes(document)))
+    if [index.first_match(*each) for each in asked] != expected:
         raise AssertionError("the index and the scan differ")
     return {
         "lookup_us_10k": round(per[10_000], 2),
@@ -243,14 +243,14 @@
 
 
 def _lookup_us(number: int, times: int) -> float:
-    index = Index(("look", "pay", "load"))
-    through(index.build(boxes(routes(number))))
+    index = RouteIndex(("look", "pay", "load"))
+    through(index.build(match_boxes(routes(number))))
     asked = _asked(number, 500)
     best = float("inf")
     for _ in range(3):
         began = time.perf_counter()
         for turn in range(times):
-            index.first(*asked[turn % 500])
+            index.first_match(*asked[turn % 500])
         best = min(best, (time.perf_counter() - began) / times * 1e6)
     return best
 
@@ -277,7 +277,7 @@
             and (box.prefixes is None or any((key or "").startswith(each) for each in box.prefixes))
             and (box.ranges is None or any(low <= data_set <= high for low, high in box.ranges))
         ):
-            return box.number
+            return box.position
     return None
 
 
--- a/benchmarks/change_wire.py
+++ b/benchmarks/change_wire.py
@@ -16,7 +16,7 @@
 from pathturn.change.conductor import Request
 from pathturn.config.read import canonical, parse, read, through
 from pathturn.process.gateway import GatewayProcess
-from pathturn.routing.checks import checking
+from pathturn.routing.checks import validate_in_slices
 from pathturn.routing.router import Router
 from pathturn.routing.table import Table
 from pathturn.standins.clients import Crowd, judged
@@ -120,7 +120,7 @@
     gevent.sleep(0.1)
     beat.taken()
     document = read(parse(orjson.dumps(raw)))
-    through(checking(document, gateway.operator.facts()))
+    through(validate_in_slices(document, gateway.operator.validation_context()))
     through(Router().compile(Table(9, document, gateway.facade.groups)))
     gevent.sleep(0.05)
     return {
--- a/pathturn/background/job_selection.py
+++ b/pathturn/background/job_selection.py
@@ -1,5 +1,5 @@
-"""Which background job runs next, and when background work may run at all. Pure functions of an explicit clock
-in microseconds.
+"""Selects the background job that runs next and limits the CPU time of background work. No I/O; the clock is
+passed in, in microseconds.
 
 Jobs are ordered by priority; a job whose deadline is near runs before all others; within one priority the job
 that has used the least CPU runs first. All jobs together are limited to a share of one core.
--- a/pathturn/background/scheduler.py
+++ b/pathturn/background/scheduler.py
@@ -1,7 +1,7 @@
-"""Cooperative scheduler that runs background jobs in time slices between decision rounds. A job is a generator
-that yields often and returns its result.
+"""Cooperative scheduler that runs background jobs in time slices between decision rounds.
 
-Which job runs next is decided in `job_selection`; here are the greenlet, the clock and the results of the jobs.
+A job is a generator that yields often and returns its result. `job_selection` decides which job runs next;
+this module has the greenlet, the clock and the results of the jobs.
 """
 
 import gc
@@ -99,7 +99,7 @@
         return max(MIN_PAUSE_S, self.cpu_budget.time_until_available(now) / 1e6)
 
     def run_slice(self) -> bool:
-        """Run one time slice of the selected job; return whether one ran. Cancels jobs past their deadline."""
+        """Cancel jobs past their deadline, then run one time slice; return whether a job ran."""
         now = self.clock()
         for job in [
             each
--- a/pathturn/change/conductor.py
+++ b/pathturn/change/conductor.py
@@ -26,7 +26,7 @@
 from pathturn.core import interface as names
 from pathturn.memory.batches import Batch, End
 from pathturn.memory.facade import Facade
-from pathturn.routing.checks import Facts, checking
+from pathturn.routing.checks import ValidationContext, validate_in_slices
 from pathturn.routing.router import Router, touches, traits
 from pathturn.routing.table import Table
 
@@ -53,11 +53,12 @@
         facade: Facade,
         ledger: Ledger,
         scheduler: Scheduler,
-        facts: Callable[[], Facts],
+        validation_context: Callable[[], ValidationContext],
         clock: Callable[[], int],
         log: Callable[[str], None],
     ) -> None:
-        self.facade, self.ledger, self.scheduler, self.facts = facade, ledger, scheduler, facts
+        self.facade, self.ledger, self.scheduler = facade, ledger, scheduler
+        self.validation_context = validation_context
         self.clock, self.log = clock, log
         self.router, self.lately, self.lock = Router(), Lately(), RLock()
         self.change: Change | None = None
@@ -84,7 +85,7 @@
         self.log(f"generation {number} code=in_force routes={len(table.ways)} pools={len(table.pools)}")
 
     def _checked(self, document: Document) -> Document:
-        faults = through(checking(document, self.facts()))
+        faults = through(validate_in_slices(document, self.validation_context()))
         if faults:
             raise Unusable(faults)
         return document
@@ -117,7 +118,7 @@
             yield from spend(told)
         else:
             document = yield from reading(raw)
-        faults = yield from checking(document, self.facts())
+        faults = yield from validate_in_slices(document, self.validation_context())
         if faults:
             raise Unusable(faults)
         return document
--- a/pathturn/cli/config.py
+++ b/pathturn/cli/config.py
@@ -26,11 +26,11 @@
 ) -> None:
     """Tell everything that is wrong with a document. Exit 0: nothing, 1: faults, 2: usage."""
     from pathturn.config.read import Unusable, parse, read
-    from pathturn.routing.checks import check as look
+    from pathturn.routing.checks import validate
 
     try:
         document = read(parse(common.read_file(file)))
-        faults = look(document, _facts(gateway)) if gateway is not None else []
+        faults = validate(document, _validation_context(gateway)) if gateway is not None else []
     except Unusable as fault:
         faults = fault.faults
     if faults:
@@ -46,12 +46,12 @@
     )
 
 
-def _facts(path: Path):  # noqa: ANN202 - its type is imported by the command alone
+def _validation_context(path: Path):  # noqa: ANN202 - its type is imported by the command alone
     import orjson
 
     from pathturn.core.interface import Seat
     from pathturn.process.settings import build, further_share
-    from pathturn.routing.checks import Facts
+    from pathturn.routing.checks import ValidationContext
     from pathturn.wire import directory
 
     with common.plain_faults():
@@ -59,4 +59,4 @@
         _, rows = directory.known(told["known"])
         _, groups = build(int(told["seed"], 16), told["settings"])
     seats = tuple(Seat(at, row[0], *row[2:6]) for at, row in enumerate(rows))
-    return Facts(groups, seats, further_share(told["settings"]))
+    return ValidationContext(groups, seats, further_share(told["settings"]))
--- a/pathturn/process/operator.py
+++ b/pathturn/process/operator.py
@@ -15,7 +15,7 @@
 from pathturn.control.server import Control
 from pathturn.memory.facade import Facade
 from pathturn.process.settings import further_share
-from pathturn.routing.checks import Facts
+from pathturn.routing.checks import ValidationContext
 from pathturn.wire.clients import MOST_OPEN
 
 
@@ -38,15 +38,15 @@
         # Events that wait for a round count as traffic, and background jobs wait for them.
         self.scheduler = Scheduler(clock, lambda: bool(facade.events))
         self.ledger = Ledger(Path(installation.ledger))
-        self.conductor = Conductor(facade, self.ledger, self.scheduler, self.facts, clock, log)
+        self.conductor = Conductor(facade, self.ledger, self.scheduler, self.validation_context, clock, log)
         self.conductor.start(Path(installation.document))
         self.control = (
             Control(Path(installation.control), Calls(self.conductor), log) if installation.control else None
         )
 
-    def facts(self) -> Facts:
+    def validation_context(self) -> ValidationContext:
         """Return what a routing document is validated against."""
-        return Facts(
+        return ValidationContext(
             self.facade.groups, tuple(self.facade.roster.seats), self.retry_share, self.max_open_batches
         )
 
--- a/pathturn/routing/checks.py
+++ b/pathturn/routing/checks.py
@@ -1,5 +1,7 @@
-"""What no shape shows: names that lead nowhere, routes that can never match, pools that break a rule, limits
-over the settings. All faults at once, each with its path, what is wrong and the fix. No I/O.
+"""Validation of a routing document beyond its schema: references to unknown names, routes that can never
+match, pools that break a rule of a service group, limits above the gateway settings.
+
+Reports all faults at once, each with its path, what is wrong and the fix. No I/O.
 """
 
 from collections.abc import Generator, Iterator
@@ -10,258 +12,296 @@
 from pathturn.config.document import VERSION, Document, Limit, Pool, Route, Split
 from pathturn.config.read import MOST_FAULTS, Fault, join, nearest, through
 from pathturn.core.interface import GONE, REFERENCED, Seat, ServiceGroup
-from pathturn.routing.index import Index
-from pathturn.routing.pools import LivePool
-from pathturn.routing.table import boxes
+from pathturn.routing.index import RouteIndex
+from pathturn.routing.pools import EnginePool
+from pathturn.routing.table import match_boxes
 
-MOST_POOLS = 1_000  # a change of the list is tested against each
-MOST_ROUTES, MOST_LIMITS = 100_000, 10_000
-LONGEST_WATCH_US = 24 * 3600 * 1_000_000
+MAX_POOLS = 1_000  # each change of the engine list is tested against every pool
+MAX_ROUTES = 100_000
+MAX_LIMITS = 10_000
+MAX_WATCH_US = 24 * 3600 * 1_000_000
+ITEMS_PER_SLICE = 16  # between two yields
 
 
-class Facts(NamedTuple):
-    """What a document is held against: the settings' groups and limits, and the list as it is now."""
+class ValidationContext(NamedTuple):
+    """What a document is validated against: the gateway's service groups and limits, and its engine list."""
 
     groups: dict[str, ServiceGroup]
-    seats: tuple[Seat, ...] = ()
-    further: float | None = None  # share of further dispatches that the settings allow
-    most_open: int | None = None
+    engines: tuple[Seat, ...] = ()
+    retry_share: float | None = None  # the most that the settings allow
+    max_open_batches: int | None = None
+
 
+FaultStream = Iterator[Fault | None]  # None marks a point at which other work may run
 
-Found = Iterator[Fault | None]
 
+def validate_in_slices(document: Document, context: ValidationContext) -> Generator[None, None, list[Fault]]:
+    """Return every fault of a document that conforms to the schema.
 
-def checking(document: Document, facts: Facts) -> Generator[None, None, list[Fault]]:
-    """Every fault; of no use before the shape is right. In slices, for a large document takes a second."""
-    found: list[Fault] = []
-    for part in (
-        _sizes(document),
-        _pools(document, facts),
-        _routes(document, facts),
-        _limits(document, facts),
-        _policy(document),
+    Runs in slices, as a large document takes a second.
+    """
+    faults: list[Fault] = []
+    for stream in (
+        _check_sizes(document),
+        _check_pools(document, context),
+        _check_routes(document, context),
+        _check_limits(document, context),
+        _check_change_policy(document),
     ):
-        yield from _gather(part, found)
-    if not found:  # the checks below look things up by names that are right by now
-        for part in (_shadowed(document, facts), _rules(document, facts)):
-            yield from _gather(part, found)
-    return found
+        yield from _collect(stream, faults)
+    if not faults:  # the remaining checks rely on every name in the document being known
+        for stream in (_check_shadowed_routes(document, context), _check_group_rules(document, context)):
+            yield from _collect(stream, faults)
+    return faults
 
 
-def check(document: Document, facts: Facts) -> list[Fault]:
-    """The same in one go."""
-    return through(checking(document, facts))
+def validate(document: Document, context: ValidationContext) -> list[Fault]:
+    """Run `validate_in_slices` to its end without interruption."""
+    return through(validate_in_slices(document, context))
 
 
-def _gather(part: Found, found: list[Fault]) -> Iterator[None]:
-    """A part yields what it finds, and None where others may go between."""
-    for each in part:
-        if each is None:
+def _collect(stream: FaultStream, faults: list[Fault]) -> Iterator[None]:
+    """Append the faults of a stream, up to the maximum, and yield wherever it does not report one."""
+    for fault in stream:
+        if fault is None:
             yield
-        elif len(found) < MOST_FAULTS:
-            found.append(each)
+        elif len(faults) < MOST_FAULTS:
+            faults.append(fault)
 
 
-def _sizes(document: Document) -> Found:
-    for name, most in (("pools", MOST_POOLS), ("routes", MOST_ROUTES), ("limits", MOST_LIMITS)):
-        if (there := len(getattr(document, name))) > most:
-            yield Fault(name, f"{there} {name}", f"keep to {most}")
+def _check_sizes(document: Document) -> FaultStream:
+    for name, maximum in (("pools", MAX_POOLS), ("routes", MAX_ROUTES), ("limits", MAX_LIMITS)):
+        if (number := len(getattr(document, name))) > maximum:
+            yield Fault(name, f"{number} {name} exceed the maximum", f"keep to at most {maximum}")
     if document.version != VERSION:
-        yield Fault("version", f"version {document.version} is unknown", f"write {VERSION}")
+        yield Fault("version", f"version {document.version} is not supported", f"write {VERSION}")
 
 
-def _pools(document: Document, facts: Facts) -> Found:
+def _check_pools(document: Document, context: ValidationContext) -> FaultStream:
     if not document.pools:
-        yield Fault("pools", "there is none", 'state one; "all": {} has every engine')
+        yield Fault("pools", "no pool is defined", 'define one; "all": {} contains every engine')
     for name, pool in document.pools.items():
         path = join("pools", name)
         if pool.fallback is not None:
-            yield from _fallback(document, name, pool, path)
-        live = [seat for seat in facts.seats if seat.state != GONE]
-        if live and not any(LivePool(name, pool).fits(seat) for seat in live):
-            yield Fault(path, "no listed engine fits it", _missing(pool, live))
+            yield from _check_fallback(document, name, pool, path)
+        engines = [engine for engine in context.engines if engine.state != GONE]
+        if engines and not any(EnginePool(name, pool).matches(engine) for engine in engines):
+            yield Fault(path, "no listed engine matches it", _unmatched_selector(pool, engines))
 
 
-def _fallback(document: Document, name: str, pool: Pool, path: str) -> Found:
+def _check_fallback(document: Document, name: str, pool: Pool, path: str) -> FaultStream:
     target = pool.fallback.pool
     if target not in document.pools:
-        yield Fault(f"{path}.fallback.pool", f"no pool {target!r}", nearest(target, document.pools))
+        yield Fault(f"{path}.fallback.pool", f"no pool named {target!r}", nearest(target, document.pools))
     elif target == name:
         yield Fault(f"{path}.fallback.pool", "a pool cannot be its own fallback", "name another pool")
     if pool.fallback.ready_under < 1:
-        yield Fault(f"{path}.fallback.ready_under", "0 never holds", "write 1 for an empty pool alone")
+        yield Fault(
+            f"{path}.fallback.ready_under",
+            "0 never activates the fallback",
+            "write 1 to use it only while the pool has no ready engine",
+        )
 
 
-def _missing(pool: Pool, live: list[Seat]) -> str:
-    """The one part that no engine fits by itself, if there is one."""
-    for part, here in (
-        ("zones", {seat.zone for seat in live}),
-        ("machines", {seat.machine for seat in live}),
-        ("cells", {seat.cell for seat in live}),
+def _unmatched_selector(pool: Pool, engines: list[Seat]) -> str:
+    """Return a fix that names the one selector that no engine matches, if there is one."""
+    for selector, present in (
+        ("zones", {engine.zone for engine in engines}),
+        ("machines", {engine.machine for engine in engines}),
+        ("cells", {engine.cell for engine in engines}),
     ):
-        stated = getattr(pool, part)
-        if stated is not None and not here & set(stated):
-            return f"{part} on the list are {', '.join(sorted(map(str, here)))}"
-    return "loosen one of its parts; no engine fits all of them together"
+        wanted = getattr(pool, selector)
+        if wanted is not None and not present & set(wanted):
+            return f"{selector} in the engine list are {', '.join(sorted(map(str, present)))}"
+    return "relax one of its selectors; no engine matches all of them"
 
 
-def _routes(document: Document, facts: Facts) -> Found:
-    seen: dict[str, int] = {}
-    for at, route in enumerate(document.routes):
-        if at % 16 == 15:
+def _check_routes(document: Document, context: ValidationContext) -> FaultStream:
+    first_use: dict[str, int] = {}
+    for position, route in enumerate(document.routes):
+        if position % ITEMS_PER_SLICE == ITEMS_PER_SLICE - 1:
             yield None
-        path = join("routes", at)
-        if route.name in seen or route.name == "default":
-            other = "the default" if route.name == "default" else f"routes[{seen[route.name]}]"
-            yield Fault(f"{path}.name", f"{route.name!r} is taken by {other}", "give it a name of its own")
-        seen.setdefault(route.name, at)
-        yield from _match(route, facts, f"{path}.match")
-        yield from _target(document, route.to, f"{path}.to")
-    yield from _target(document, document.default, "default")
-
-
-def _match(route: Route, facts: Facts, path: str) -> Found:
-    for part in ("groups", "customers", "key_prefixes", "data_sets"):
-        if getattr(route.match, part) == ():
-            yield Fault(f"{path}.{part}", "an empty list fits nothing", "leave it out to fit everything")
-    for at, group in enumerate(route.match.groups or ()):
-        if group not in facts.groups:
-            yield Fault(f"{path}.groups[{at}]", f"no service group {group!r}", nearest(group, facts.groups))
-    for at, (first, last) in enumerate(route.match.data_sets or ()):
+        path = join("routes", position)
+        if route.name in first_use or route.name == "default":
+            other = "the default" if route.name == "default" else f"routes[{first_use[route.name]}]"
+            yield Fault(
+                f"{path}.name", f"{route.name!r} is already the name of {other}", "choose a unique name"
+            )
+        first_use.setdefault(route.name, position)
+        yield from _check_match(route, context, f"{path}.match")
+        yield from _check_target(document, route.to, f"{path}.to")
+    yield from _check_target(document, document.default, "default")
+
+
+def _check_match(route: Route, context: ValidationContext, path: str) -> FaultStream:
+    for field in ("groups", "customers", "key_prefixes", "data_sets"):
+        if getattr(route.match, field) == ():
+            yield Fault(f"{path}.{field}", "an empty list matches nothing", "omit it to match everything")
+    for position, group in enumerate(route.match.groups or ()):
+        if group not in context.groups:
+            yield Fault(
+                f"{path}.groups[{position}]", f"no service group {group!r}", nearest(group, context.groups)
+            )
+    for position, (first, last) in enumerate(route.match.data_sets or ()):
         if first > last or first < 0:
-            yield Fault(f"{path}.data_sets[{at}]", f"[{first}, {last}] is empty", f"write [{last}, {first}]")
+            yield Fault(
+                f"{path}.data_sets[{position}]",
+                f"[{first}, {last}] is not an ascending range from 0 up",
+                f"write [{last}, {first}]",
+            )
 
 
-def _target(document: Document, to: str | Split, path: str) -> Found:
+def _check_target(document: Document, to: str | Split, path: str) -> FaultStream:
     for pool in [to] if isinstance(to, str) else to:
         if pool not in document.pools:
             yield Fault(
                 path if isinstance(to, str) else join(path, pool),
-                f"no pool {pool!r}",
+                f"no pool named {pool!r}",
                 nearest(pool, document.pools),
             )
     if not isinstance(to, str) and not isclose(sum(to.values()), 1.0, abs_tol=1e-6):
-        yield Fault(path, f"the split adds up to {sum(to.values()):.6g}", "make its weights add up to 1")
+        yield Fault(path, f"the weights add up to {sum(to.values()):.6g}", "make them add up to 1")
 
 
-def _limits(document: Document, facts: Facts) -> Found:
+def _check_limits(document: Document, context: ValidationContext) -> FaultStream:
     if not document.limits:
         return
     names, routes = set(), {route.name for route in document.routes} | {"default"}
-    for at, limit in enumerate(document.limits):
-        if at % 16 == 15:
+    for position, limit in enumerate(document.limits):
+        if position % ITEMS_PER_SLICE == ITEMS_PER_SLICE - 1:
             yield None
-        path = join("limits", at)
+        path = join("limits", position)
         if limit.name in names:
-            yield Fault(f"{path}.name", f"{limit.name!r} is taken", "give it a name of its own")
+            yield Fault(
+                f"{path}.name", f"{limit.name!r} is already the name of another limit", "choose a unique name"
+            )
         names.add(limit.name)
         if (limit.route is None) == (limit.pool is None):
-            yield Fault(path, "a limit is for a route or a pool", "state one of the two, and not both")
-        for part, there in (("route", routes), ("pool", document.pools)):
-            if (named := getattr(limit, part)) is not None and named not in there:
-                yield Fault(f"{path}.{part}", f"no {part} {named!r}", nearest(named, there))
-        yield from _figures(limit, facts, path)
+            yield Fault(path, "a limit applies to one route or one pool", "set exactly one of route and pool")
+        for field, known in (("route", routes), ("pool", document.pools)):
+            if (name := getattr(limit, field)) is not None and name not in known:
+                yield Fault(f"{path}.{field}", f"no {field} named {name!r}", nearest(name, known))
+        yield from _check_limit_values(limit, context, path)
 
 
-def _figures(limit: Limit, facts: Facts, path: str) -> Found:
+def _check_limit_values(limit: Limit, context: ValidationContext, path: str) -> FaultStream:
     if (limit.open, limit.rate, limit.out, limit.further) == (None,) * 4:
-        yield Fault(path, "it limits nothing", "state open, rate, out or further")
-    for part in ("open", "out"):
-        if getattr(limit, part) == 0:
-            yield Fault(f"{path}.{part}", "0 would push back everything", "write 1 or more")
+        yield Fault(path, "the limit restricts nothing", "set open, rate, out or further")
+    for field in ("open", "out"):
+        if getattr(limit, field) == 0:
+            yield Fault(f"{path}.{field}", "0 would let no batch through", "write 1 or more")
     if limit.burst < 1:
-        yield Fault(f"{path}.burst", "a burst of 0 lets nothing through", "write 1 or more")
+        yield Fault(f"{path}.burst", "a burst below 1 lets no batch through", "write 1 or more")
     if limit.burst > 1 and limit.rate is None:
-        yield Fault(f"{path}.burst", "a burst without a rate", "state rate too")
-    if facts.further is not None and limit.further is not None and limit.further > facts.further:
+        yield Fault(f"{path}.burst", "a burst without a rate has no effect", "set rate too")
+    if context.retry_share is not None and limit.further is not None and limit.further > context.retry_share:
         yield Fault(
             f"{path}.further",
-            f"{limit.further:.4g} is above the settings' {facts.further:.4g}",
-            f"write {facts.further:.4g} or less",
+            f"{limit.further:.4g} exceeds the {context.retry_share:.4g} that the gateway settings allow",
+            f"write {context.retry_share:.4g} or less",
         )
-    if facts.most_open is not None and limit.open is not None and limit.open > facts.most_open:
+    if (
+        context.max_open_batches is not None
+        and limit.open is not None
+        and limit.open > context.max_open_batches
+    ):
         yield Fault(
             f"{path}.open",
-            f"{limit.open} is above what connections allow",
-            f"write {facts.most_open} or less",
+            f"{limit.open} exceeds the open batches that client connections allow",
+            f"write {context.max_open_batches} or less",
         )
 
 
-def _policy(document: Document) -> Found:
+def _check_change_policy(document: Document) -> FaultStream:
     policy = document.change
-    if not 0 < policy.watch <= LONGEST_WATCH_US:
-        yield Fault("change.watch", "a change is watched for more than 0 and at most a day", "write 60s, say")
+    if not 0 < policy.watch <= MAX_WATCH_US:
+        yield Fault("change.watch", "must be more than 0 and at most 24 hours", "write 60s, for example")
     if not 0 < policy.false_alarms < 0.5:
-        yield Fault("change.false_alarms", "a rate of false alarms lies between 0 and 0.5", "write 1%, say")
+        yield Fault("change.false_alarms", "must be more than 0 and less than 0.5", "write 1%, for example")
     shares = [step.share for step in policy.canary]
     if shares != sorted(set(shares)) or 0 in shares:
-        yield Fault("change.canary", "each step takes a larger share than the last", "order the steps")
-    for at, step in enumerate(policy.canary):
+        yield Fault(
+            "change.canary",
+            "each step must have a share above 0 and larger than the step before",
+            "order the steps by share",
+        )
+    for position, step in enumerate(policy.canary):
         if step.hold == 0:
-            yield Fault(f"change.canary[{at}].hold", "a step of no length shows nothing", "write 5s, say")
+            yield Fault(
+                f"change.canary[{position}].hold",
+                "a step of zero duration shows nothing",
+                "write 5s, for example",
+            )
 
 
-def _shadowed(document: Document, facts: Facts) -> Found:
-    index = Index(facts.groups)
-    yield from index.build(boxes(document))
-    for box in boxes(document):
-        if box.number % 16 == 15:
+def _check_shadowed_routes(document: Document, context: ValidationContext) -> FaultStream:
+    index = RouteIndex(context.groups)
+    yield from index.build(match_boxes(document))
+    for box in match_boxes(document):
+        if box.position % ITEMS_PER_SLICE == ITEMS_PER_SLICE - 1:
             yield None
-        if (by := index.covering(box)) is not None:
+        if (by := index.shadowed_by(box)) is not None:
             yield Fault(
-                join("routes", box.number),
-                f"{document.routes[box.number].name!r} can never match: {document.routes[by].name!r} "
-                f"(routes[{by}]) takes what is left of it",
-                f"move it before routes[{by}], or drop it",
+                join("routes", box.position),
+                f"{document.routes[box.position].name!r} can never match: {document.routes[by].name!r} "
+                f"(routes[{by}]), alone or with earlier routes, matches all of its batches",
+                f"move it before routes[{by}], or remove it",
             )
-    yield from index.dismantle()
+    yield from index.free()
 
 
-def _rules(document: Document, facts: Facts) -> Found:
-    """Placement, and the engines that drop a referenced batch's repeat: a pool must leave both usable."""
-    live = [seat for seat in facts.seats if seat.state != GONE]
-    if not live:
+def _check_group_rules(document: Document, context: ValidationContext) -> FaultStream:
+    """Check each target pool against the placement and the deduplication scope of its service groups."""
+    engines = [engine for engine in context.engines if engine.state != GONE]
+    if not engines:
         return
-    fits = {
-        name: {seat for seat in live if LivePool(name, pool).fits(seat)}
+    members = {
+        name: {engine for engine in engines if EnginePool(name, pool).matches(engine)}
         for name, pool in document.pools.items()
     }
-    told = set()
+    checked = set()
     targets = chain(
         (
-            (join("routes", at) + ".to", route.match.groups, route.to)
-            for at, route in enumerate(document.routes)
+            (join("routes", position) + ".to", route.match.groups, route.to)
+            for position, route in enumerate(document.routes)
         ),
         [("default", None, document.default)],
     )
-    for at, (path, groups, to) in enumerate(targets):
-        if at % 16 == 15:
+    for position, (path, groups, to) in enumerate(targets):
+        if position % ITEMS_PER_SLICE == ITEMS_PER_SLICE - 1:
             yield None
         for pool in [to] if isinstance(to, str) else to:
-            for name in groups or facts.groups:
-                if (pool, name) in told:
+            for name in groups or context.groups:
+                if (pool, name) in checked:
                     continue
-                told.add((pool, name))
-                what, fix = _broken(facts.groups[name], fits[pool], live)
+                checked.add((pool, name))
+                what, fix = _broken_rule(context.groups[name], members[pool], engines)
                 if what:
                     yield Fault(path, f"pool {pool!r} {what} {name!r}", fix)
 
 
-def _broken(group: ServiceGroup, pool: set[Seat], live: list[Seat]) -> tuple[str, str]:
-    may = [
-        seat
-        for seat in live
-        if (group.zones is None or seat.zone in group.zones)
-        and (group.machines is None or seat.machine in group.machines)
+def _broken_rule(group: ServiceGroup, pool: set[Seat], engines: list[Seat]) -> tuple[str, str]:
+    """Return what is wrong with a pool as a target of the group, and the fix; both empty if nothing is."""
+    allowed = [
+        engine
+        for engine in engines
+        if (group.zones is None or engine.zone in group.zones)
+        and (group.machines is None or engine.machine in group.machines)
     ]
-    if may and not pool & set(may):
-        return "has no engine where placement binds", "add an engine that the group may use, or match less"
+    if allowed and not pool & set(allowed):
+        return (
+            "has no engine within the placement of service group",
+            "add an engine that the group may use, or narrow the route's match",
+        )
     if group.kind == REFERENCED and group.repeat_scope != "all":
-        part = "zone" if group.repeat_scope == "zone" else "cell"
-        halves = {getattr(seat, part) for seat in pool & set(may)}
-        if cut := sorted(seat.identity for seat in may if getattr(seat, part) in halves and seat not in pool):
+        scope = "zone" if group.repeat_scope == "zone" else "cell"
+        included = {getattr(engine, scope) for engine in pool & set(allowed)}
+        if excluded := sorted(
+            engine.identity for engine in allowed if getattr(engine, scope) in included and engine not in pool
+        ):
             return (
-                f"takes a {part} apart that drops repeats ({', '.join(cut[:3])} left out) of",
-                f"take each {part} whole or not at all",
+                f"has only part of a {scope} that deduplicates repeats "
+                f"(without {', '.join(excluded[:3])}) for service group",
+                f"include each {scope} entirely or not at all",
             )
     return "", ""
--- a/pathturn/routing/index.py
+++ b/pathturn/routing/index.py
@@ -1,9 +1,10 @@
-"""Finds the first route that fits a batch without looking at the others.
+"""Index that finds the first route matching a batch without scanning all routes.
 
-Group and customer by hash (each stated or not: four tables at most), key prefixes by a trie below that, data
-sets by disjoint intervals below each node, each with its first route. A look-up costs four short walks down
-the key and as many bisections, however many routes there are. Built in slices: `build` yields often, so that
-whoever runs it can let rounds go between.
+Group and customer are looked up by hash, each either given or a wildcard, so at most four tries are searched.
+Below that, key prefixes form a trie whose nodes map disjoint intervals of data sets to the first route that
+covers them. The cost of a lookup is four short walks along the key with a bisection at each node, independent
+of the number of routes. `build` is a generator that yields often, so that the caller can run decision rounds
+in between.
 """
 
 import heapq
@@ -13,140 +14,161 @@
 from math import inf
 from typing import NamedTuple
 
-# So many insertions between two yields: some 50 us.
-SLICE = 16
-NONE = 1 << 60  # after every route's number
+STEPS_PER_SLICE = 16  # between two yields; 16 insertions take about 50 us
+NO_ROUTE = 1 << 60  # greater than the position of any route
 
 
-class Box(NamedTuple):
-    """What one route matches; None stands for everything. Ranges with both ends in."""
+class MatchBox(NamedTuple):
+    """What one route matches; None matches everything. Ranges include both ends.
 
-    number: int
+    `position` is the route's position in the document: the lowest matching position wins.
+    """
+
+    position: int
     groups: tuple[str, ...] | None = None
     customers: tuple[str, ...] | None = None
     prefixes: tuple[str, ...] | None = None
     ranges: tuple[tuple[int, int], ...] | None = None
 
 
-class Intervals:
-    """Disjoint intervals, each with the lowest number that covers it. Fed by `add`, then swept once."""
+class IntervalMap:
+    """Disjoint intervals, each with the lowest route position that covers it.
+
+    Filled by `add`, then built once by `sweep`.
+    """
 
-    __slots__ = ("pending", "points", "starts", "best")
+    __slots__ = ("pending", "points", "starts", "lowest")
 
     def __init__(self) -> None:
         self.pending: list[tuple[int, int, int]] = []
         self.points: list[int] = []
         self.starts: list[int] = []
-        self.best: list[int] = []
+        self.lowest: list[int] = []
 
-    def add(self, first: int, last: int, number: int) -> None:
-        # Heaps and not one sort at the end, which would be a slice of its own and a long one.
-        heapq.heappush(self.pending, (first, number, last))
+    def add(self, first: int, last: int, position: int) -> None:
+        # Heaps spread the cost of ordering over the slices; one sort at the end would be a single long slice.
+        heapq.heappush(self.pending, (first, position, last))
         heapq.heappush(self.points, first)
         heapq.heappush(self.points, last + 1)
 
     def sweep(self) -> Iterator[None]:
+        """Build the disjoint intervals with a line sweep over all end points, in slices."""
         active: list[tuple[int, int]] = []
-        turns = 0
+        steps = 0
         while self.points:
-            turns += 1
-            if turns % SLICE == 0:
+            steps += 1
+            if steps % STEPS_PER_SLICE == 0:
                 yield
             point = heapq.heappop(self.points)
             if self.starts and self.starts[-1] == point:
                 continue
             while self.pending and self.pending[0][0] <= point:
-                _, number, last = heapq.heappop(self.pending)
-                heapq.heappush(active, (number, last))
+                _, position, last = heapq.heappop(self.pending)
+                heapq.heappush(active, (position, last))
             while active and active[0][1] < point:
                 heapq.heappop(active)
-            best = active[0][0] if active else NONE
-            if not self.best or self.best[-1] != best:
+            lowest = active[0][0] if active else NO_ROUTE
+            if not self.lowest or self.lowest[-1] != lowest:
                 self.starts.append(point)
-                self.best.append(best)
+                self.lowest.append(lowest)
 
-    def at(self, value: int) -> int:
+    def lowest_at(self, value: int) -> int:
+        """Return the lowest route position covering the value, or NO_ROUTE."""
         slot = bisect_right(self.starts, value) - 1
-        return self.best[slot] if slot >= 0 else NONE
+        return self.lowest[slot] if slot >= 0 else NO_ROUTE
 
-    def worst(self, first: int, last: int) -> int:
-        """The highest of the numbers that cover the range's parts; NONE if one part has none."""
+    def highest_within(self, first: int, last: int) -> int:
+        """Return the highest position of the intervals in the range; NO_ROUTE if part of it has no route."""
         slot = bisect_right(self.starts, first) - 1
         if slot < 0:
-            return NONE
-        return max(self.best[slot : bisect_right(self.starts, last)])
+            return NO_ROUTE
+        return max(self.lowest[slot : bisect_right(self.starts, last)])
 
 
-class Node:
-    """One step of a key's prefix. `whole`: the first route that takes every data set here."""
+class TrieNode:
+    """One character of a key prefix.
 
-    __slots__ = ("below", "whole", "some")
+    `any_data_set` is the first route at this node that matches every data set; `intervals` holds the others.
+    """
+
+    __slots__ = ("children", "any_data_set", "intervals")
 
     def __init__(self) -> None:
-        self.below: dict[str, Node] = {}
-        self.whole, self.some = NONE, None
+        self.children: dict[str, TrieNode] = {}
+        self.any_data_set = NO_ROUTE
+        self.intervals = None
 
-    def add(self, ranges: tuple[tuple[int, int], ...] | None, number: int) -> None:
+    def add(self, ranges: tuple[tuple[int, int], ...] | None, position: int) -> None:
         if ranges is None:
-            self.whole = min(self.whole, number)
+            self.any_data_set = min(self.any_data_set, position)
             return
-        self.some = self.some or Intervals()
+        self.intervals = self.intervals or IntervalMap()
         for first, last in ranges:
-            self.some.add(first, last, number)
+            self.intervals.add(first, last, position)
 
 
-class Index:
-    """`first` gives the number of the first box that fits; `covering` one that leaves a box nothing."""
+class RouteIndex:
+    """Finds the first box that matches a batch (`first_match`) and boxes that never match (`shadowed_by`)."""
 
     def __init__(self, groups: Iterable[str]) -> None:
-        self.groups, self.roots, self.swept = tuple(groups), {}, []
+        self.groups = tuple(groups)
+        self.roots = {}
+        self.unswept_nodes = []
 
-    def build(self, boxes: Iterable[Box]) -> Iterator[None]:
-        turns = 0
+    def build(self, boxes: Iterable[MatchBox]) -> Iterator[None]:
+        """Insert all boxes and sweep their intervals, in slices."""
+        steps = 0
         for box in boxes:
-            for group, customer, prefix in product(*(part or (None,) for part in box[1:4])):
-                turns += 1
-                if turns % SLICE == 0:
+            for group, customer, prefix in product(*(values or (None,) for values in box[1:4])):
+                steps += 1
+                if steps % STEPS_PER_SLICE == 0:
                     yield
                 self._insert(group, customer, prefix or "", box)
-        for node in self.swept:
+        for node in self.unswept_nodes:
             yield
-            yield from node.some.sweep()
-        self.swept = []
+            yield from node.intervals.sweep()
+        self.unswept_nodes = []
 
-    def dismantle(self) -> Iterator[None]:
-        """Takes it apart in slices: left to one go, a large one is freed for ten milliseconds on end."""
-        waiting, turns = [*self.roots.values()], 0
+    def free(self) -> Iterator[None]:
+        """Free the tries in slices: deallocating a large index at once blocks the process for 10 ms."""
+        remaining = [*self.roots.values()]
+        steps = 0
         self.roots.clear()
-        while waiting:
-            node = waiting.pop()
-            waiting.extend(node.below.values())
-            node.below.clear()
-            node.some = None
-            turns += 1
-            if turns % SLICE == 0:
+        while remaining:
+            node = remaining.pop()
+            remaining.extend(node.children.values())
+            node.children.clear()
+            node.intervals = None
+            steps += 1
+            if steps % STEPS_PER_SLICE == 0:
                 yield
 
-    def _insert(self, group: str | None, customer: str | None, prefix: str, box: Box) -> None:
-        node = self.roots.setdefault((group, customer), Node())
-        for letter in prefix:
-            node = node.below.setdefault(letter, Node()) if letter not in node.below else node.below[letter]
-        fresh = node.some is None
-        node.add(box.ranges, box.number)
-        if fresh and node.some is not None:
-            self.swept.append(node)
-
-    def _path(self, group: str | None, customer: str | None, key: str) -> Iterator[Node]:
+    def _insert(self, group: str | None, customer: str | None, prefix: str, box: MatchBox) -> None:
+        node = self.roots.setdefault((group, customer), TrieNode())
+        for char in prefix:
+            node = (
+                node.children.setdefault(char, TrieNode())
+                if char not in node.children
+                else node.children[char]
+            )
+        had_no_intervals = node.intervals is None
+        node.add(box.ranges, box.position)
+        if had_no_intervals and node.intervals is not None:
+            self.unswept_nodes.append(node)
+
+    def _nodes_along(self, group: str | None, customer: str | None, key: str) -> Iterator[TrieNode]:
+        """Yield the nodes of one trie from its root along the characters of the key."""
         node = self.roots.get((group, customer))
         if node is None:
             return
         yield node
-        for letter in key:
-            if (node := node.below.get(letter)) is None:
+        for char in key:
+            if (node := node.children.get(char)) is None:
                 return
             yield node
 
-    def _sides(self, group: str | None, customer: str | None) -> Iterator[tuple[str | None, str | None]]:
+    def _root_keys(self, group: str | None, customer: str | None) -> Iterator[tuple[str | None, str | None]]:
+        """Yield the keys of the tries that may match, wildcards (None) first."""
         yield None, None
         if group is not None:
             yield group, None
@@ -155,37 +177,44 @@
             if group is not None:
                 yield group, customer
 
-    def first(self, group: str, customer: str | None, key: str | None, data_set: int) -> int | None:
-        best = NONE
-        for side in self._sides(group, customer):
-            for node in self._path(*side, key or ""):
-                if node.whole < best:
-                    best = node.whole
-                if node.some is not None and (there := node.some.at(data_set)) < best:
-                    best = there
-        return None if best == NONE else best
-
-    def covering(self, box: Box) -> int | None:
-        """An earlier box that takes what is last left of this one, where nothing of it is left at all. Parts
-        of several boxes count together over data sets, groups and values, not over prefixes."""
-        found = None
+    def first_match(self, group: str, customer: str | None, key: str | None, data_set: int) -> int | None:
+        """Return the position of the first route that matches, or None."""
+        lowest = NO_ROUTE
+        for root_key in self._root_keys(group, customer):
+            for node in self._nodes_along(*root_key, key or ""):
+                if node.any_data_set < lowest:
+                    lowest = node.any_data_set
+                if node.intervals is not None and (found := node.intervals.lowest_at(data_set)) < lowest:
+                    lowest = found
+        return None if lowest == NO_ROUTE else lowest
+
+    def shadowed_by(self, box: MatchBox) -> int | None:
+        """Return the last of the earlier boxes that together cover this one; None if part of it is reachable.
+
+        Coverage by several boxes is combined over data sets, groups and customers, but not over key prefixes.
+        """
+        last_position = None
         for group, customer, prefix in product(
             box.groups or self.groups, box.customers or (None,), box.prefixes or ("",)
         ):
             for first, last in box.ranges or ((0, inf),):
-                taken = self._taker(group, customer, prefix, first, last, box.number)
-                if taken is None:
+                covering = self._covering_position(group, customer, prefix, first, last, box.position)
+                if covering is None:
                     return None
-                found = taken if found is None else max(found, taken)
-        return found
+                last_position = covering if last_position is None else max(last_position, covering)
+        return last_position
 
-    def _taker(
-        self, group: str, customer: str | None, prefix: str, first: int, last: float, number: int
+    def _covering_position(
+        self, group: str, customer: str | None, prefix: str, first: int, last: float, position: int
     ) -> int | None:
-        for side in self._sides(group, customer):
-            for node in self._path(*side, prefix):
-                if node.whole < number:
-                    return node.whole
-                if node.some is not None and (worst := node.some.worst(first, last)) < number:
-                    return worst
+        """Return an earlier position that covers this part of a box, or None."""
+        for root_key in self._root_keys(group, customer):
+            for node in self._nodes_along(*root_key, prefix):
+                if node.any_data_set < position:
+                    return node.any_data_set
+                if (
+                    node.intervals is not None
+                    and (highest := node.intervals.highest_within(first, last)) < position
+                ):
+                    return highest
         return None
--- a/pathturn/routing/pools.py
+++ b/pathturn/routing/pools.py
@@ -1,6 +1,6 @@
-"""Which engines a pool has, from the list as last told: a choice of the operator's document, and no I/O.
+"""The engines of each pool, from the current engine list and the selectors in the routing document. No I/O.
 
-An engine that comes, goes or changes costs each pool one test; the others are left alone.
+When an engine is added, removed or changed, only that engine is tested against each pool.
 """
 
 import re
@@ -11,54 +11,62 @@
 from pathturn.core.interface import READY, Seat
 
 
-class LivePool:
-    """A pool of one generation with the engines that it has now. `reach` is replaced whole, never edited."""
+class EnginePool:
+    """A pool of one generation with its current engines, by index.
 
-    __slots__ = ("name", "spec", "members", "ready", "fallback", "reach", "_ids", "__weakref__")
+    `eligible` are the engines that a batch may use, including those of the fallback pool while it is active.
+    The set is replaced, never modified.
+    """
+
+    __slots__ = ("name", "spec", "members", "ready", "fallback", "eligible", "_id_pattern", "__weakref__")
 
     def __init__(self, name: str, spec: Pool) -> None:
-        self.name, self.spec = name, spec
+        self.name = name
+        self.spec = spec
         self.members: set[int] = set()
         self.ready: set[int] = set()
-        self.fallback: LivePool | None = None
-        self.reach: frozenset[int] = frozenset()
-        self._ids = re.compile(translate(spec.ids)) if spec.ids is not None else None
+        self.fallback: EnginePool | None = None
+        self.eligible: frozenset[int] = frozenset()
+        self._id_pattern = re.compile(translate(spec.ids)) if spec.ids is not None else None
 
-    def fits(self, seat: Seat) -> bool:
+    def matches(self, engine: Seat) -> bool:
+        """Return whether the engine matches every selector of the pool."""
         spec = self.spec
         return (
-            (spec.zones is None or seat.zone in spec.zones)
-            and (spec.machines is None or seat.machine in spec.machines)
-            and (spec.cells is None or seat.cell in spec.cells)
-            and (self._ids is None or self._ids.match(seat.identity) is not None)
+            (spec.zones is None or engine.zone in spec.zones)
+            and (spec.machines is None or engine.machine in spec.machines)
+            and (spec.cells is None or engine.cell in spec.cells)
+            and (self._id_pattern is None or self._id_pattern.match(engine.identity) is not None)
         )
 
-    def hear(self, changed: Iterable[Seat], gone: Iterable[int]) -> None:
-        self.members.difference_update(gone)
-        self.ready.difference_update(gone)
-        for seat in changed:
-            fits = self.fits(seat)
-            (self.members.add if fits else self.members.discard)(seat.index)
-            (self.ready.add if fits and seat.state == READY else self.ready.discard)(seat.index)
+    def update_members(self, changed: Iterable[Seat], removed: Iterable[int]) -> None:
+        """Apply a change of the engine list; `update_eligible` must follow once all pools have applied it."""
+        self.members.difference_update(removed)
+        self.ready.difference_update(removed)
+        for engine in changed:
+            matches = self.matches(engine)
+            (self.members.add if matches else self.members.discard)(engine.index)
+            (self.ready.add if matches and engine.state == READY else self.ready.discard)(engine.index)
 
-    def settle(self) -> None:
-        """After every pool has heard: what a batch may use, with the fallback where its condition holds."""
-        reach = frozenset(self.members)
+    def update_eligible(self) -> None:
+        """Recompute `eligible`: the members, and the fallback's members while too few engines are ready."""
+        eligible = frozenset(self.members)
         if self.fallback is not None and len(self.ready) < self.spec.fallback.ready_under:
-            reach |= self.fallback.members
-        if reach != self.reach:
-            self.reach = reach
+            eligible |= self.fallback.members
+        if eligible != self.eligible:
+            self.eligible = eligible
 
 
-class Seats:
-    """The list as last told, to tell what of it has changed."""
+class EngineList:
+    """The current engine list; reports what each new list changes."""
 
     def __init__(self) -> None:
-        self.rows: dict[int, Seat] = {}
+        self.by_index: dict[int, Seat] = {}
 
-    def hear(self, rows: Iterable[Seat]) -> tuple[list[Seat], set[int]]:
-        told = {row.index: row for row in rows}
-        changed = [row for row in told.values() if self.rows.get(row.index) != row]
-        gone = self.rows.keys() - told.keys()
-        self.rows = told
-        return changed, gone
+    def update(self, engines: Iterable[Seat]) -> tuple[list[Seat], set[int]]:
+        """Replace the list; return the new or changed engines and the indices of the removed ones."""
+        current = {engine.index: engine for engine in engines}
+        changed = [engine for engine in current.values() if self.by_index.get(engine.index) != engine]
+        removed = self.by_index.keys() - current.keys()
+        self.by_index = current
+        return changed, removed
--- a/pathturn/routing/router.py
+++ b/pathturn/routing/router.py
@@ -11,7 +11,7 @@
 
 from pathturn.core.interface import Seat
 from pathturn.routing.limits import Meter
-from pathturn.routing.pools import LivePool, Seats
+from pathturn.routing.pools import EngineList, EnginePool
 from pathturn.routing.table import Course, Table, part
 
 
@@ -31,9 +31,9 @@
 
 class Router:
     def __init__(self) -> None:
-        self.seats, self.meters = Seats(), WeakValueDictionary[str, Meter]()
+        self.seats, self.meters = EngineList(), WeakValueDictionary[str, Meter]()
         # As long as anybody holds one: a batch may still go by a generation that is not in force any more.
-        self.pools: WeakSet[LivePool] = WeakSet()
+        self.pools: WeakSet[EnginePool] = WeakSet()
         self.present: Table | None = None
         self.trial: Table | None = None
         self.share, self.salt = 0.0, ""
@@ -42,18 +42,18 @@
         """The table's own work, in slices; from its first one on it follows the list."""
         return table.compile(self.meters, self._join)
 
-    def _join(self, pool: LivePool) -> None:
-        pool.hear(self.seats.rows.values(), ())
+    def _join(self, pool: EnginePool) -> None:
+        pool.update_members(self.seats.by_index.values(), ())
         self.pools.add(pool)
 
     def listing(self, rows: Iterable[Seat]) -> None:
-        changed, gone = self.seats.hear(rows)
+        changed, gone = self.seats.update(rows)
         if changed or gone:
             pools = list(self.pools)
             for pool in pools:
-                pool.hear(changed, gone)
+                pool.update_members(changed, gone)
             for pool in pools:
-                pool.settle()
+                pool.update_eligible()
 
     def settle(self, table: Table) -> None:
         """A table in force, whole, from the next batch on; ends any trial."""
--- a/pathturn/routing/table.py
+++ b/pathturn/routing/table.py
@@ -6,9 +6,9 @@
 from itertools import accumulate
 
 from pathturn.config.document import Document, Limit, Split
-from pathturn.routing.index import Box, Index
+from pathturn.routing.index import MatchBox, RouteIndex
 from pathturn.routing.limits import Meter, Quota
-from pathturn.routing.pools import LivePool
+from pathturn.routing.pools import EnginePool
 
 HASHES = 1 << 64
 FREED = 32  # routes between two yields
@@ -26,11 +26,11 @@
 
     __slots__ = ("generation", "route", "pool", "quotas")
 
-    def __init__(self, generation: int, route: str, pool: LivePool, quotas: tuple[Quota, ...]) -> None:
+    def __init__(self, generation: int, route: str, pool: EnginePool, quotas: tuple[Quota, ...]) -> None:
         self.generation, self.route, self.pool, self.quotas = generation, route, pool, quotas
 
     def reaches(self, engine: int) -> bool:
-        return engine in self.pool.reach
+        return engine in self.pool.eligible
 
     def pause(self, now: int) -> int | None:
         pauses = [pause for quota in self.quotas if (pause := quota.pause(now)) is not None]
@@ -90,34 +90,36 @@
 
     def __init__(self, generation: int, document: Document, groups: Iterable[str]) -> None:
         self.generation, self.document, self.groups = generation, document, tuple(groups)
-        self.pools: dict[str, LivePool] = {}
+        self.pools: dict[str, EnginePool] = {}
         self.ways: list[Way] = []
-        self.index = Index(self.groups)
+        self.index = RouteIndex(self.groups)
 
-    def compile(self, meters: MutableMapping[str, Meter], join: Callable[[LivePool], None]) -> Iterator[None]:
+    def compile(
+        self, meters: MutableMapping[str, Meter], join: Callable[[EnginePool], None]
+    ) -> Iterator[None]:
         """In slices; the table is of use once this is through. `join` lets a pool hear of the list as it is,
         and of what changes from there on: the list may change between two slices."""
         document = self.document
         for name, spec in document.pools.items():
-            self.pools[name] = LivePool(name, spec)
+            self.pools[name] = EnginePool(name, spec)
             join(self.pools[name])
             yield
         for pool in self.pools.values():
             if pool.spec.fallback is not None:
                 pool.fallback = self.pools[pool.spec.fallback.pool]
-            pool.settle()
+            pool.update_eligible()
         quotas = self._quotas(meters)
         for route in document.routes:
             self.ways.append(self._way(route.name, route.to, quotas))
             if len(self.ways) % 32 == 0:
                 yield
         self.default = self._way("default", document.default, quotas)
-        yield from self.index.build(boxes(document))
+        yield from self.index.build(match_boxes(document))
 
     def dismantle(self) -> Iterator[None]:
         """Frees a table that gives no courses any more, in slices; courses that batches still have stand by
         themselves. Of no use afterwards."""
-        yield from self.index.dismantle()
+        yield from self.index.free()
         routes, self.document = list(self.document.routes), None
         for part in (self.ways, routes):
             while part:
@@ -147,7 +149,7 @@
         return Way(name, tuple(accumulate(weights.values())), tuple(courses))
 
     def way(self, group: str, customer: str | None, key: str | None, data_set: int) -> Way:
-        number = self.index.first(group, customer, key, data_set)
+        number = self.index.first_match(group, customer, key, data_set)
         return self.default if number is None else self.ways[number]
 
 
@@ -155,7 +157,7 @@
     return ("route", limit.route) if limit.route is not None else ("pool", limit.pool or "")
 
 
-def boxes(document: Document) -> Iterator[Box]:
+def match_boxes(document: Document) -> Iterator[MatchBox]:
     for number, route in enumerate(document.routes):
         match = route.match
-        yield Box(number, match.groups, match.customers, match.key_prefixes, match.data_sets)
+        yield MatchBox(number, match.groups, match.customers, match.key_prefixes, match.data_sets)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,7 +23,7 @@
 from pathturn.process.limits import shares
 from pathturn.process.settings import build
 from pathturn.routing.limits import Meter, Quota
-from pathturn.routing.pools import LivePool
+from pathturn.routing.pools import EnginePool
 from pathturn.routing.table import Course
 from pathturn.standins.farm import Farm, spare_address
 
@@ -139,8 +139,8 @@
         self.round(("listing", names.WHOLE, rows))
 
     def course(self, name, *engines, **limits):
-        pool = LivePool(name, Pool())
-        pool.reach = frozenset(map(int, engines))
+        pool = EnginePool(name, Pool())
+        pool.eligible = frozenset(map(int, engines))
         told = {
             key: units.READERS[Rate](value)
             if key == "rate"
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -11,15 +11,15 @@
 from pathturn.config.document import Document, Pool, Route
 from pathturn.config.read import Unusable, canonical, parse, parsing, read, reading, through
 from pathturn.core.interface import DRAINING, REFERENCED, REPEATABLE, Seat, ServiceGroup
-from pathturn.routing.checks import Facts, check
-from pathturn.routing.index import Box, Index
+from pathturn.routing.checks import ValidationContext, validate
+from pathturn.routing.index import MatchBox, RouteIndex
 from pathturn.routing.limits import Meter, Quota
 from pathturn.routing.router import Router, touches, traits
 from pathturn.routing.table import Table
 
 GROUPS = ("look", "load")
 SEATS = tuple(Seat(at, f"n{at}", "ab"[at % 2], "m", at // 2, 0) for at in range(6))
-FACTS = Facts(
+CONTEXT = ValidationContext(
     {
         "look": ServiceGroup(1, 1, 1, 1, 1, REPEATABLE),
         "load": ServiceGroup(1, 1, 1, 1, 1, REFERENCED, repeat_scope="zone"),
@@ -66,29 +66,29 @@
     some.integers(0, 13),
 )
 def test_the_index_finds_what_a_scan_finds(rows, group, customer, key, data_set) -> None:
-    boxes = [Box(number, *row) for number, row in enumerate(rows)]
-    index = Index(GROUPS)
+    boxes = [MatchBox(position, *row) for position, row in enumerate(rows)]
+    index = RouteIndex(GROUPS)
     through(index.build(boxes))
-    scan = next((box.number for box in boxes if fits(box, group, customer, key, data_set)), None)
-    assert index.first(group, customer, key, data_set) == scan
+    scan = next((box.position for box in boxes if fits(box, group, customer, key, data_set)), None)
+    assert index.first_match(group, customer, key, data_set) == scan
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(BOXES)
 def test_a_route_told_to_be_shadowed_never_matches(rows) -> None:
-    boxes = [Box(number, *row) for number, row in enumerate(rows)]
-    index = Index(GROUPS)
+    boxes = [MatchBox(position, *row) for position, row in enumerate(rows)]
+    index = RouteIndex(GROUPS)
     through(index.build(boxes))
     for box in boxes:
-        by = index.covering(box)
+        by = index.shadowed_by(box)
         reached = any(
-            index.first(group, customer, key, data_set) == box.number
+            index.first_match(group, customer, key, data_set) == box.position
             for group in GROUPS
             for customer in (None, "f1", "f2", "f3")
             for key in (None, "a", "ab", "abc", "abcd", "b", "c")
             for data_set in range(14)
         )
-        assert by is None or (not reached and by < box.number)
+        assert by is None or (not reached and by < box.position)
 
 
 def test_a_document_keeps_its_meaning_in_its_canonical_form() -> None:
@@ -110,8 +110,8 @@
     ({"version": 2}, "version", "2"),
     ({"default": "al"}, "default", "'all'"),
     ({"pools": 3}, "pools", "belong"),
-    ({"pools": {"all": {}, "q": {"zones": ["z"]}}}, "pools.q", "zones on the list are a, b"),
-    ({"pools": {"all": {}, "q": {"cells": [9]}}}, "pools.q", "cells on the list"),
+    ({"pools": {"all": {}, "q": {"zones": ["z"]}}}, "pools.q", "zones in the engine list are a, b"),
+    ({"pools": {"all": {}, "q": {"cells": [9]}}}, "pools.q", "cells in the engine list"),
     ({"pools": {"all": {}, "q": {"ids": "x?"}}}, "pools.q", "no listed engine"),
     ({"pools": {"all": {}, "q": {"zone": ["a"]}}}, "pools.q.zone", "'zones'"),
     ({"pools": {"all": {"fallback": {"pool": "al"}}}}, "pools.all.fallback.pool", "'all'"),
@@ -124,7 +124,7 @@
         "0.9",
     ),
     ({"routes": [{"name": "r", "to": {"all": 2}}]}, "routes[0].to.all", "between 0 and 1"),
-    ({"routes": [{"name": "default", "to": "all"}]}, "routes[0].name", "taken"),
+    ({"routes": [{"name": "default", "to": "all"}]}, "routes[0].name", "already the name of the default"),
     (
         {"routes": [{"name": "r", "to": "all", "match": {"groups": ["lok"]}}]},
         "routes[0].match.groups[0]",
@@ -149,7 +149,7 @@
     (
         {"routes": [{"name": "r", "to": "a", "match": {"groups": ["bound"]}}]},
         "routes[0].to",
-        "placement binds",
+        "no engine within the placement",
     ),
     (
         {
@@ -157,16 +157,20 @@
             "routes": [{"name": "r", "to": "q", "match": {"groups": ["load"]}}],
         },
         "routes[0].to",
-        "takes a zone apart",
+        "only part of a zone that deduplicates repeats (without n4)",
     ),
-    ({"limits": [{"name": "l", "open": 1}]}, "limits[0]", "one of the two"),
-    ({"limits": [{"name": "l", "pool": "all"}]}, "limits[0]", "limits nothing"),
+    ({"limits": [{"name": "l", "open": 1}]}, "limits[0]", "exactly one of route and pool"),
+    ({"limits": [{"name": "l", "pool": "all"}]}, "limits[0]", "restricts nothing"),
     ({"limits": [{"name": "l", "pool": "al", "open": 1}]}, "limits[0].pool", "'all'"),
     ({"limits": [{"name": "l", "route": "r", "open": 1}]}, "limits[0].route", "no route"),
     ({"limits": [{"name": "l", "pool": "all", "open": 0}]}, "limits[0].open", "1 or more"),
     ({"limits": [{"name": "l", "pool": "all", "burst": 4, "open": 2}]}, "limits[0].burst", "without a rate"),
     ({"limits": [{"name": "l", "pool": "all", "rate": "5 s"}]}, "limits[0].rate", "/s"),
-    ({"limits": [{"name": "l", "pool": "all", "further": "20%"}]}, "limits[0].further", "settings' 0.1"),
+    (
+        {"limits": [{"name": "l", "pool": "all", "further": "20%"}]},
+        "limits[0].further",
+        "exceeds the 0.1 that the gateway settings allow",
+    ),
     ({"limits": [{"name": "l", "pool": "all", "open": 5000}]}, "limits[0].open", "1000 or less"),
     ({"change": {"watch": "2"}}, "change.watch", "250ms"),
     ({"change": {"watch": 0}}, "change.watch", "more than 0"),
@@ -176,14 +180,14 @@
         "change.canary",
         "larger",
     ),
-    ({"change": {"canary": [{"share": 0.5, "hold": 0}]}}, "change.canary[0].hold", "no length"),
+    ({"change": {"canary": [{"share": 0.5, "hold": 0}]}}, "change.canary[0].hold", "zero duration"),
 ]
 
 
 @pytest.mark.parametrize(("change", "path", "word"), FAULTS)
 def test_a_fault_is_told_once_with_path_what_and_fix(change, path, word) -> None:
     try:
-        faults = check(read(BASE | change), FACTS)
+        faults = validate(read(BASE | change), CONTEXT)
     except Unusable as fault:
         faults = fault.faults
     assert [fault.path for fault in faults] == [path], faults
@@ -233,15 +237,15 @@
     pools = {"all": {}, "a": {"zones": ["a"], "fallback": {"pool": "all", "ready_under": 2}}}
     router.settle(compiled(router, 1, pools=pools, routes=[{"name": "r", "to": "a"}]))
     course = router.course(traits("look", None, None, 0, "t"))
-    assert course.pool.reach == {0, 2, 4}
+    assert course.pool.eligible == {0, 2, 4}
     router.settle(compiled(router, 2))
     drained = [seat._replace(state=DRAINING) if seat.index in (0, 2) else seat for seat in SEATS]
     router.listing(drained)
-    assert course.pool.reach == {0, 1, 2, 3, 4, 5}, "fewer than two are ready: the fallback's engines too"
+    assert course.pool.eligible == {0, 1, 2, 3, 4, 5}, "fewer than two are ready: the fallback's engines too"
     router.listing(SEATS[1:2])
-    assert course.pool.reach == {1} and not course.pool.members
+    assert course.pool.eligible == {1} and not course.pool.members
     router.listing(())
-    assert not course.pool.reach
+    assert not course.pool.eligible
 
 
 def test_a_key_never_straddles_a_canary_and_a_wider_one_keeps_what_a_narrower_took() -> None:
@@ -355,4 +359,4 @@
 
 def test_a_document_of_one_pool_is_whole() -> None:
     document = Document(1, {"all": Pool()}, "all", (Route("r", "all"),))
-    assert not check(document, FACTS) and read(parse(canonical(document))) == document
+    assert not validate(document, CONTEXT) and read(parse(canonical(document))) == document
