--- a/benchmarks/change_wire.py
+++ b/benchmarks/change_wire.py
@@ -18,7 +18,7 @@
 from pathturn.process.gateway import GatewayProcess
 from pathturn.routing.checks import validate_in_slices
 from pathturn.routing.router import Router
-from pathturn.routing.table import Table
+from pathturn.routing.table import RoutingTable
 from pathturn.standins.clients import Crowd, judged
 from pathturn.standins.farm import Farm, installed, spare_address
 
@@ -95,7 +95,7 @@
     """A harmful change, and one more that is applied while an engine drains."""
     took, found = [], []
     for turn, name in enumerate(("plain", "draining")):
-        conductor.stage(harmful(conductor.router.present.generation, name))
+        conductor.stage(harmful(conductor.router.current.generation, name))
         if turn:
             farm.change("n4", "draining")
             farm.drained_at = monotonic()
@@ -121,7 +121,7 @@
     beat.taken()
     document = read(parse(orjson.dumps(raw)))
     through(validate_in_slices(document, gateway.operator.validation_context()))
-    through(Router().compile(Table(9, document, gateway.facade.groups)))
+    through(Router().compile(RoutingTable(9, document, gateway.facade.groups)))
     gevent.sleep(0.05)
     return {
         "longest_stall_ms": max(min(gap) for gap, _ in runs),
@@ -142,7 +142,7 @@
 def _staged(gateway: Any, beat: Beat, seed: int) -> tuple[tuple[float, float], float]:
     """The longest gap from the control socket's call until the document is kept, and how long staging
     took."""
-    raw, name, base = _raw(seed), f"large{seed}", gateway.operator.conductor.router.present.generation
+    raw, name, base = _raw(seed), f"large{seed}", gateway.operator.conductor.router.current.generation
     line = orjson.dumps(
         {
             "jsonrpc": "2.0",
@@ -163,7 +163,7 @@
     while gateway.operator.conductor.change is not None:
         gevent.sleep(0.05)
     gap = beat.taken()
-    if gateway.operator.conductor.router.present.generation == base:
+    if gateway.operator.conductor.router.current.generation == base:
         raise AssertionError("the large document was not kept")
     return gap, staged
 
--- a/pathturn/change/conductor.py
+++ b/pathturn/change/conductor.py
@@ -27,8 +27,8 @@
 from pathturn.memory.batches import Batch, End
 from pathturn.memory.facade import Facade
 from pathturn.routing.checks import ValidationContext, validate_in_slices
-from pathturn.routing.router import Router, touches, traits
-from pathturn.routing.table import Table
+from pathturn.routing.router import Router, batch_attributes, routing_differs
+from pathturn.routing.table import RoutingTable
 
 LOOK_S = 0.25  # how often the watch looks
 DISK_S = 2.0  # an undo waits so long for its place in the ledger; a crash would undo it all the same
@@ -62,7 +62,7 @@
         self.clock, self.log = clock, log
         self.router, self.lately, self.lock = Router(), Lately(), RLock()
         self.change: Change | None = None
-        self.table: Table | None = None
+        self.table: RoutingTable | None = None
         self.guard: Guard | None = None
         self.began_us, self.undo_us, self.stopped = 0, 0, False
 
@@ -77,12 +77,12 @@
         if not number:
             first = self._checked(through(reading(parse(document.read_bytes()))))
             number = self.ledger.first(canonical(first))
-        self.router.listing(self.facade.roster.seats)
-        table = Table(number, self.ledger.document(number), self.facade.groups)
+        self.router.update_engines(self.facade.roster.seats)
+        table = RoutingTable(number, self.ledger.document(number), self.facade.groups)
         through(self.router.compile(table))
-        self.router.settle(table)
-        self.facade.follow(self.router, traits, self.ended)
-        self.log(f"generation {number} code=in_force routes={len(table.ways)} pools={len(table.pools)}")
+        self.router.activate(table)
+        self.facade.follow(self.router, batch_attributes, self.ended)
+        self.log(f"generation {number} code=in_force routes={len(table.targets)} pools={len(table.pools)}")
 
     def _checked(self, document: Document) -> Document:
         faults = through(validate_in_slices(document, self.validation_context()))
@@ -144,10 +144,10 @@
                 document.change,
                 self.clock(),
             )
-            change = states.stage(wanted, self.router.present.generation, self.change)
-            what = self._job("what", differences(self.router.present.document, document))
+            change = states.stage(wanted, self.router.current.generation, self.change)
+            what = self._job("what", differences(self.router.current.document, document))
             change = replace(change, what=what)
-            table = Table(change.generation, document, self.facade.groups)
+            table = RoutingTable(change.generation, document, self.facade.groups)
             self._job("compile", self.router.compile(table))
             self._write(self.ledger.staged, change, self._job("encode", encoding(document)))
             self.change, self.table = change, table
@@ -170,9 +170,12 @@
                 return self._known(identity)
             if self.change.state != "staged":
                 return self.change
-            table, present = self.table, self.router.present
+            table, current = self.table, self.router.current
             before = self._job(
-                "before", self.lately.before(lambda told: touches(present, table, told), self.clock())
+                "before",
+                self.lately.before(
+                    lambda attributes: routing_differs(current, table, attributes), self.clock()
+                ),
             )
             begun = states.begin(self.change, self.clock())
             self._write(self.ledger.moved, begun)
@@ -207,15 +210,15 @@
         trial = self.change is not None and self.change.state in ("canary", "watched")
         findings = self.guard.findings() if trial and self.guard else []
         return {
-            "generation": self.router.present.generation,
+            "generation": self.router.current.generation,
             "change": None if self.change is None else shown(self.change),
-            "share": self.router.share if trial else 0.0,
+            "share": self.router.candidate_share if trial else 0.0,
             "due_us": self._due_us() if trial else 0,
             "findings": [finding._asdict() | {"harm": finding.harm} for finding in findings],
             "unjudged": self.guard.unjudged() if trial and self.guard else [],
             "pools": {
                 name: {"engines": len(pool.members), "ready": len(pool.ready)}
-                for name, pool in self.router.present.pools.items()
+                for name, pool in self.router.current.pools.items()
             },
         }
 
@@ -232,7 +235,7 @@
         self.lately.add(now, told, ended)
         if self.guard is None or batch.taken_us < self.began_us:
             return
-        kind = touches(self.router.present, self.table, told)
+        kind = routing_differs(self.router.current, self.table, told)
         served = batch.course.generation == self.change.generation
         self.guard.add(now - self.began_us, (TOUCHED if served else BESIDE) if kind else LEFT, ended)
 
@@ -271,11 +274,11 @@
     def _take(self, change: Change) -> None:
         self.change = change
         if change.state == "kept":
-            old = self.router.present
-            self.router.settle(self.table)
+            old = self.router.current
+            self.router.activate(self.table)
             self._over(old)
         else:
-            self.router.try_out(self.table, change.share, change.id)
+            self.router.set_candidate(self.table, change.share, change.id)
         self._tell(change)
 
     def _undo(self, reason: str, figures: tuple[str, ...] = ()) -> Change:
@@ -289,7 +292,7 @@
         except Unwritten as fault:
             self.log(f"change {undone.id} code=undo_unwritten fault={fault}")
         # One turn of the loop: no round and no batch between the tables and what goes back to them.
-        self.router.settle(self.router.present)
+        self.router.activate(self.router.current)
         moved = self.facade.take_back(undone.generation)
         self._over(self.table)
         self.undo_us = self.clock() - asked
@@ -303,12 +306,12 @@
             if self.change is not None:
                 self._undo(reason)
 
-    def _over(self, useless: Table) -> None:
+    def _over(self, useless: RoutingTable) -> None:
         """The change has ended; the table that nobody goes by any more is freed in the background, as a large
         one takes twenty milliseconds."""
         self.change = self.table = self.guard = None
         with suppress(JobQueueFull):
-            self.scheduler.submit("free", useless.dismantle(), USUAL)
+            self.scheduler.submit("free", useless.free(), USUAL)
 
     # The disk in a thread of its own, long work in the background.
     def _write(self, write: Callable[..., None], *values: Any) -> None:
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -21,7 +21,7 @@
 from pathturn.memory.roster import Roster
 
 if TYPE_CHECKING:  # routing is imported at run time only if enabled: plain serve has no routes
-    from pathturn.routing.router import Router, Traits
+    from pathturn.routing.router import BatchAttributes, Router
 
 # The module normally ends a batch before its deadline; the protocol allows an answer up to 50 ms after it.
 OVERDUE_US = 20_000
@@ -67,7 +67,7 @@
         self.round_started_us = 0
         self.follows_list = Event()
         self.router: Router | None = None
-        self.traits: Callable[..., Traits] | None = None
+        self.traits: Callable[..., BatchAttributes] | None = None
         self.watch: Callable[[Batch, End], None] | None = None
 
     def _add_event(self, *event: Any) -> None:
@@ -175,11 +175,11 @@
 
     # Called for the operator.
     def follow(
-        self, router: "Router", traits: Callable[..., "Traits"], watch: Callable[[Batch, End], None]
+        self, router: "Router", traits: Callable[..., "BatchAttributes"], watch: Callable[[Batch, End], None]
     ) -> None:
         """Route batches by the router's tables from now on, and call `watch` when a batch ends."""
         self.router, self.traits, self.watch = router, traits, watch
-        router.listing(self.roster.seats)
+        router.update_engines(self.roster.seats)
 
     def take_back(self, generation: int) -> int:
         """Route a generation's batches that have not been dispatched by the present one; return how many.
@@ -263,7 +263,7 @@
         """Replace the list of engines, or record that it could not be had."""
         rows = [] if form == names.FAILED else self.roster.update(entries)
         if self.router is not None and form != names.FAILED:
-            self.router.listing(self.roster.seats)
+            self.router.update_engines(self.roster.seats)
         self._add_event("listing", form, rows)
 
     # Called by the process: start, stop and rounds.
--- a/pathturn/routing/limits.py
+++ b/pathturn/routing/limits.py
@@ -1,66 +1,81 @@
-"""The operator's limits: whether one more fits. The module asks, and decides what becomes of a batch that
-does not.
+"""The operator's limits: whether one more batch or dispatch is allowed. The decision module asks, and decides
+what happens to a batch that is over a limit.
 
-A meter counts; a quota is a meter seen with the figures of one generation. Meters outlive a change of the
-figures, so that a change renews no allowance, and an undo none either.
+A meter counts usage; a limiter applies the values of one generation to a meter. Meters survive a change of
+the values, so that neither a change nor its undo resets the usage of a limit.
 """
 
 from pathturn.config.document import Limit
 from pathturn.structures.ring import Ring
 
-SPAN_US = 10_000_000  # over which the share of further dispatches is taken
-FREE = 1  # further dispatches in a span, whatever was taken: without one the first error would end its batch
+WINDOW_US = 10_000_000  # over which the share of retries is measured
+WINDOW_BUCKETS = 10
+# Retries allowed per window regardless of the share: without one, the first error would end its batch.
+FREE_RETRIES = 1
 
 
 class Meter:
-    """What one limit has seen: batches open, dispatches out, when the next token is whole, and a span's
-    sums."""
+    """Usage of one limit, kept across generations.
 
-    __slots__ = ("open", "out", "full_at", "sums", "__weakref__")
+    `theoretical_arrival_us` is when the batches admitted so far would all have arrived if they kept to the
+    limit's rate (generic cell rate algorithm). `window` sums new batches and retries.
+    """
+
+    __slots__ = ("open_batches", "dispatches_in_flight", "theoretical_arrival_us", "window", "__weakref__")
 
     def __init__(self) -> None:
-        self.open, self.out, self.full_at, self.sums = 0, 0, 0.0, Ring(SPAN_US, 10, 2)
+        self.open_batches = 0
+        self.dispatches_in_flight = 0
+        self.theoretical_arrival_us = 0.0
+        self.window = Ring(WINDOW_US, WINDOW_BUCKETS, 2)
+
 
+class Limiter:
+    """One limit of one generation, applied to the limit's meter."""
 
-class Quota:
-    __slots__ = ("limit", "meter", "every_us", "slack_us")
+    __slots__ = ("limit", "meter", "interval_us", "burst_tolerance_us")
 
     def __init__(self, limit: Limit, meter: Meter) -> None:
-        self.limit, self.meter = limit, meter
-        self.every_us = 1e6 / limit.rate if limit.rate else 0.0
-        self.slack_us = self.every_us * (max(1, limit.burst) - 1)
+        self.limit = limit
+        self.meter = meter
+        self.interval_us = 1e6 / limit.rate if limit.rate else 0.0
+        self.burst_tolerance_us = self.interval_us * (max(1, limit.burst) - 1)
 
     def pause(self, now: int) -> int | None:
-        """None if one more batch fits; else when it may come back in so many microseconds, 0 if nothing
-        tells."""
-        if self.every_us and self.meter.full_at - now > self.slack_us:
-            return max(1, int(self.meter.full_at - now - self.slack_us))
-        return 0 if self.limit.open is not None and self.meter.open >= self.limit.open else None
+        """Return None if one more batch is allowed, else the microseconds to wait; 0 if that is unknown."""
+        if self.interval_us and self.meter.theoretical_arrival_us - now > self.burst_tolerance_us:
+            return max(1, int(self.meter.theoretical_arrival_us - now - self.burst_tolerance_us))
+        return 0 if self.limit.open is not None and self.meter.open_batches >= self.limit.open else None
 
     def took(self, now: int, counts: bool) -> None:
-        """`counts`: the batch is new, not one that comes over from another generation."""
-        self.meter.open += 1
+        """Count an open batch; `counts` is False for one that moves here from another generation."""
+        self.meter.open_batches += 1
         if counts:
-            self.meter.sums.add(now, 1, 0)
-            if self.every_us:
-                self.meter.full_at = max(self.meter.full_at, now) + self.every_us
+            self.meter.window.add(now, 1, 0)
+            if self.interval_us:
+                self.meter.theoretical_arrival_us = (
+                    max(self.meter.theoretical_arrival_us, now) + self.interval_us
+                )
 
     def left(self) -> None:
-        self.meter.open -= 1
+        """Count the end of an open batch."""
+        self.meter.open_batches -= 1
 
     def fits(self, now: int, further: bool) -> bool:
-        """Whether one more dispatch may go out."""
-        if self.limit.out is not None and self.meter.out >= self.limit.out:
+        """Return whether one more dispatch is allowed."""
+        if self.limit.out is not None and self.meter.dispatches_in_flight >= self.limit.out:
             return False
         if not further or self.limit.further is None:
             return True
-        taken, spent = self.meter.sums.sums(now)
-        return spent + 1 <= FREE + self.limit.further * taken
+        batches, retries = self.meter.window.sums(now)
+        return retries + 1 <= FREE_RETRIES + self.limit.further * batches
 
     def sent(self, now: int, further: bool) -> None:
-        self.meter.out += 1
+        """Count a dispatch in flight."""
+        self.meter.dispatches_in_flight += 1
         if further:
-            self.meter.sums.add(now, 0, 1)
+            self.meter.window.add(now, 0, 1)
 
     def back(self) -> None:
-        self.meter.out -= 1
+        """Count the outcome of a dispatch."""
+        self.meter.dispatches_in_flight -= 1
--- a/pathturn/routing/router.py
+++ b/pathturn/routing/router.py
@@ -1,8 +1,8 @@
-"""The tables in force: which generation a batch belongs to, and so its course. A choice, and no I/O.
+"""The routing tables in force: which generation a batch belongs to, and so its engines and limits. No I/O.
 
-At most two generations take batches at once: the present one and, while a change is on trial, the next one
-for a share of the units. A unit is a key, else a customer, else the batch itself, so that one key never
-straddles.
+At most two generations accept batches at once: the current one and, while a change is on trial, the candidate
+for a share of the batches. Batches are assigned by their split key: the key, else the customer, else the
+batch's own ticket. All batches of one key therefore go to the same generation.
 """
 
 from collections.abc import Iterable, Iterator
@@ -12,63 +12,84 @@
 from pathturn.core.interface import Seat
 from pathturn.routing.limits import Meter
 from pathturn.routing.pools import EngineList, EnginePool
-from pathturn.routing.table import Course, Table, part
+from pathturn.routing.table import Course, RoutingTable, hash_fraction
 
 
-class Traits(NamedTuple):
-    """What routes can tell batches by, and the unit that splits and shares go by."""
+class BatchAttributes(NamedTuple):
+    """What routes can match of a batch, and the key by which weights and canary shares assign it."""
 
     group: str
     customer: str | None
     key: str | None
     data_set: int
-    unit: str
+    split_key: str
 
 
-def traits(group: str, customer: str | None, key: str | None, data_set: int, ticket: str) -> Traits:
-    return Traits(group, customer, key, data_set, key or customer or ticket)
+def batch_attributes(
+    group: str, customer: str | None, key: str | None, data_set: int, ticket: str
+) -> BatchAttributes:
+    return BatchAttributes(group, customer, key, data_set, key or customer or ticket)
 
 
 class Router:
+    """Holds the current and the candidate routing table, and keeps the pools of both up to date."""
+
     def __init__(self) -> None:
-        self.seats, self.meters = EngineList(), WeakValueDictionary[str, Meter]()
-        # As long as anybody holds one: a batch may still go by a generation that is not in force any more.
+        self.engines = EngineList()
+        self.meters = WeakValueDictionary[str, Meter]()
+        # Weak references: a pool is kept up to date while any batch still uses it, even after its generation
+        # has been replaced.
         self.pools: WeakSet[EnginePool] = WeakSet()
-        self.present: Table | None = None
-        self.trial: Table | None = None
-        self.share, self.salt = 0.0, ""
+        self.current: RoutingTable | None = None
+        self.candidate: RoutingTable | None = None
+        self.candidate_share = 0.0
+        self.split_salt = ""
 
-    def compile(self, table: Table) -> Iterator[None]:
-        """The table's own work, in slices; from its first one on it follows the list."""
-        return table.compile(self.meters, self._join)
+    def compile(self, table: RoutingTable) -> Iterator[None]:
+        """Compile the table in slices; its pools follow the engine list from the first slice on."""
+        return table.compile(self.meters, self._register_pool)
 
-    def _join(self, pool: EnginePool) -> None:
-        pool.update_members(self.seats.by_index.values(), ())
+    def _register_pool(self, pool: EnginePool) -> None:
+        pool.update_members(self.engines.by_index.values(), ())
         self.pools.add(pool)
 
-    def listing(self, rows: Iterable[Seat]) -> None:
-        changed, gone = self.seats.update(rows)
-        if changed or gone:
+    def update_engines(self, engines: Iterable[Seat]) -> None:
+        """Apply a new engine list to the pools of all generations in use."""
+        changed, removed = self.engines.update(engines)
+        if changed or removed:
             pools = list(self.pools)
             for pool in pools:
-                pool.update_members(changed, gone)
+                pool.update_members(changed, removed)
             for pool in pools:
                 pool.update_eligible()
 
-    def settle(self, table: Table) -> None:
-        """A table in force, whole, from the next batch on; ends any trial."""
-        self.present, self.trial, self.share = table, None, 0.0
-
-    def try_out(self, table: Table, share: float, salt: str) -> None:
-        self.trial, self.share, self.salt = table, share, salt
-
-    def course(self, told: Traits) -> Course:
-        tried = self.trial is not None and part(self.salt, told.unit) < self.share
-        table = self.trial if tried else self.present
-        return table.way(told.group, told.customer, told.key, told.data_set).course(told.unit)
-
-
-def touches(old: Table, new: Table, told: Traits) -> bool:
-    """Whether the new table would treat such a batch otherwise than the old one does."""
-    fields = told[:4]
-    return old.way(*fields).meaning != new.way(*fields).meaning
+    def activate(self, table: RoutingTable) -> None:
+        """Make the table the current one for all new batches; ends any trial."""
+        self.current = table
+        self.candidate = None
+        self.candidate_share = 0.0
+
+    def set_candidate(self, table: RoutingTable, share: float, salt: str) -> None:
+        """Route this share of the split keys by the candidate table.
+
+        With the same salt, a larger share includes every split key of a smaller one.
+        """
+        self.candidate = table
+        self.candidate_share = share
+        self.split_salt = salt
+
+    def course(self, attributes: BatchAttributes) -> Course:
+        use_candidate = (
+            self.candidate is not None
+            and hash_fraction(self.split_salt, attributes.split_key) < self.candidate_share
+        )
+        table = self.candidate if use_candidate else self.current
+        return table.find_target(
+            attributes.group, attributes.customer, attributes.key, attributes.data_set
+        ).course(attributes.split_key)
+
+
+def routing_differs(old: RoutingTable, new: RoutingTable, attributes: BatchAttributes) -> bool:
+    """Return whether the new table treats such a batch differently from the old one."""
+    match_fields = attributes[:4]
+    return old.find_target(*match_fields).effect != new.find_target(*match_fields).effect
--- a/pathturn/routing/table.py
+++ b/pathturn/routing/table.py
@@ -1,4 +1,4 @@
-"""A document compiled into one frozen table, and the course that it gives a batch. No I/O, no wall clock."""
+"""Routing table compiled from a document: selects the pool and the limits of each batch. No I/O, no clock."""
 
 from bisect import bisect_right
 from collections.abc import Callable, Iterable, Iterator, MutableMapping
@@ -7,157 +7,187 @@
 
 from pathturn.config.document import Document, Limit, Split
 from pathturn.routing.index import MatchBox, RouteIndex
-from pathturn.routing.limits import Meter, Quota
+from pathturn.routing.limits import Limiter, Meter
 from pathturn.routing.pools import EnginePool
 
-HASHES = 1 << 64
-FREED = 32  # routes between two yields
+HASH_RANGE = 1 << 64
+ROUTES_PER_SLICE = 32  # between two yields
 
 
-def part(salt: str, unit: str) -> float:
-    """Where a unit lies in [0, 1) for this purpose: the same in every gateway and every process. No crc: that
-    is linear, so that another salt would cut the same units apart, and numbered keys would lie unevenly."""
-    digest = blake2b(unit.encode(), digest_size=8, key=salt.encode()[:64]).digest()
-    return int.from_bytes(digest, "big") / HASHES
+def hash_fraction(salt: str, split_key: str) -> float:
+    """Map the key to [0, 1), with the same result in every gateway and process.
+
+    A CRC would not do: it is linear, so that another salt would split the same keys along the same lines, and
+    consecutively numbered keys would be distributed unevenly.
+    """
+    digest = blake2b(split_key.encode(), digest_size=8, key=salt.encode()[:64]).digest()
+    return int.from_bytes(digest, "big") / HASH_RANGE
 
 
 class Course:
-    """What a batch may use: a pool and limits of one generation. The module asks it and decides."""
+    """The pool and the limits of one generation that apply to a batch; queried by the decision module."""
 
-    __slots__ = ("generation", "route", "pool", "quotas")
+    __slots__ = ("generation", "route", "pool", "limiters")
 
-    def __init__(self, generation: int, route: str, pool: EnginePool, quotas: tuple[Quota, ...]) -> None:
-        self.generation, self.route, self.pool, self.quotas = generation, route, pool, quotas
+    def __init__(self, generation: int, route: str, pool: EnginePool, limiters: tuple[Limiter, ...]) -> None:
+        self.generation = generation
+        self.route = route
+        self.pool = pool
+        self.limiters = limiters
 
     def reaches(self, engine: int) -> bool:
         return engine in self.pool.eligible
 
     def pause(self, now: int) -> int | None:
-        pauses = [pause for quota in self.quotas if (pause := quota.pause(now)) is not None]
+        pauses = [pause for limiter in self.limiters if (pause := limiter.pause(now)) is not None]
         return max(pauses, default=None)
 
     def took(self, now: int, counts: bool = True) -> None:
-        for quota in self.quotas:
-            quota.took(now, counts)
+        for limiter in self.limiters:
+            limiter.took(now, counts)
 
     def left(self) -> None:
-        for quota in self.quotas:
-            quota.left()
+        for limiter in self.limiters:
+            limiter.left()
 
     def fits(self, now: int, further: bool) -> bool:
-        return all(quota.fits(now, further) for quota in self.quotas)
+        return all(limiter.fits(now, further) for limiter in self.limiters)
 
     def sent(self, now: int, further: bool) -> None:
-        for quota in self.quotas:
-            quota.sent(now, further)
+        for limiter in self.limiters:
+            limiter.sent(now, further)
 
     def back(self) -> None:
-        for quota in self.quotas:
-            quota.back()
+        for limiter in self.limiters:
+            limiter.back()
+
 
+class RouteTarget:
+    """What one route leads to: one course per pool, selected by cumulative weights.
 
-class Way:
-    """One route's target: its courses, and where the weights end."""
+    `effect` compares targets regardless of the route's name: two targets of equal effect treat a batch alike.
+    For a weighted split it includes the name, which is the salt of the split.
+    """
 
-    __slots__ = ("name", "ends", "courses", "meaning")
+    __slots__ = ("name", "cumulative_weights", "courses", "effect")
 
-    def __init__(self, name: str, ends: tuple[float, ...], courses: tuple[Course, ...]) -> None:
-        self.name, self.ends, self.courses = name, ends, courses
-        # What it comes to without its name: two ways of one meaning treat a batch alike, except for a split,
-        # which goes by the name too.
-        self.meaning = (
+    def __init__(self, name: str, cumulative_weights: tuple[float, ...], courses: tuple[Course, ...]) -> None:
+        self.name = name
+        self.cumulative_weights = cumulative_weights
+        self.courses = courses
+        self.effect = (
             name if len(courses) > 1 else None,
-            ends,
+            cumulative_weights,
             tuple(
                 (
                     course.pool.spec,
                     course.pool.fallback and course.pool.fallback.spec,
-                    tuple(quota.limit for quota in course.quotas),
+                    tuple(limiter.limit for limiter in course.limiters),
                 )
                 for course in courses
             ),
         )
 
-    def course(self, unit: str) -> Course:
+    def course(self, split_key: str) -> Course:
+        """Select a course by weight; the same split key always gives the same one."""
         if len(self.courses) == 1:
             return self.courses[0]
-        return self.courses[min(bisect_right(self.ends, part(self.name, unit)), len(self.courses) - 1)]
+        return self.courses[
+            min(
+                bisect_right(self.cumulative_weights, hash_fraction(self.name, split_key)),
+                len(self.courses) - 1,
+            )
+        ]
 
 
-class Table:
-    """Frozen once compiled; only its pools hear of the list. Look-ups by `way`, counted from the document's
-    first route; `default` for what fits none."""
+class RoutingTable:
+    """One generation's routes, immutable once compiled except for the engines of its pools.
+
+    `find_target` returns the target of the first matching route, or `default` if none matches.
+    """
 
     def __init__(self, generation: int, document: Document, groups: Iterable[str]) -> None:
-        self.generation, self.document, self.groups = generation, document, tuple(groups)
+        self.generation = generation
+        self.document = document
+        self.groups = tuple(groups)
         self.pools: dict[str, EnginePool] = {}
-        self.ways: list[Way] = []
+        self.targets: list[RouteTarget] = []
         self.index = RouteIndex(self.groups)
 
     def compile(
-        self, meters: MutableMapping[str, Meter], join: Callable[[EnginePool], None]
+        self, meters: MutableMapping[str, Meter], register_pool: Callable[[EnginePool], None]
     ) -> Iterator[None]:
-        """In slices; the table is of use once this is through. `join` lets a pool hear of the list as it is,
-        and of what changes from there on: the list may change between two slices."""
+        """Compile the document in slices; the table is usable only after the last one.
+
+        The engine list may change between two slices: `register_pool` gives a pool the current engines and
+        keeps it up to date from then on.
+        """
         document = self.document
         for name, spec in document.pools.items():
             self.pools[name] = EnginePool(name, spec)
-            join(self.pools[name])
+            register_pool(self.pools[name])
             yield
         for pool in self.pools.values():
             if pool.spec.fallback is not None:
                 pool.fallback = self.pools[pool.spec.fallback.pool]
             pool.update_eligible()
-        quotas = self._quotas(meters)
+        limiters = self._make_limiters(meters)
         for route in document.routes:
-            self.ways.append(self._way(route.name, route.to, quotas))
-            if len(self.ways) % 32 == 0:
+            self.targets.append(self._make_target(route.name, route.to, limiters))
+            if len(self.targets) % ROUTES_PER_SLICE == 0:
                 yield
-        self.default = self._way("default", document.default, quotas)
+        self.default = self._make_target("default", document.default, limiters)
         yield from self.index.build(match_boxes(document))
 
-    def dismantle(self) -> Iterator[None]:
-        """Frees a table that gives no courses any more, in slices; courses that batches still have stand by
-        themselves. Of no use afterwards."""
+    def free(self) -> Iterator[None]:
+        """Free a table that is no longer in use, in slices; it is unusable afterwards.
+
+        Courses that batches still hold stay valid.
+        """
         yield from self.index.free()
         routes, self.document = list(self.document.routes), None
-        for part in (self.ways, routes):
-            while part:
-                del part[-FREED:]
+        for items in (self.targets, routes):
+            while items:
+                del items[-ROUTES_PER_SLICE:]
                 yield
 
-    def _quotas(self, meters: MutableMapping[str, Meter]) -> dict[tuple[str, str], list[Quota]]:
-        found: dict[tuple[str, str], list[Quota]] = {}
+    def _make_limiters(self, meters: MutableMapping[str, Meter]) -> dict[tuple[str, str], list[Limiter]]:
+        """Return the limiters by scope; a limit that already has a meter under its name keeps it."""
+        limiters: dict[tuple[str, str], list[Limiter]] = {}
         for limit in self.document.limits:
-            # Held here before it is set: a mapping of weak references would lose it in between.
+            # Bound to a variable first: `meters` holds weak references and would lose a new meter at once.
             meter = meters.get(limit.name) or Meter()
             meters[limit.name] = meter
-            found.setdefault(_subject(limit), []).append(Quota(limit, meter))
-        return found
+            limiters.setdefault(_limit_scope(limit), []).append(Limiter(limit, meter))
+        return limiters
 
-    def _way(self, name: str, to: str | Split, quotas: dict[tuple[str, str], list[Quota]]) -> Way:
+    def _make_target(
+        self, name: str, to: str | Split, limiters: dict[tuple[str, str], list[Limiter]]
+    ) -> RouteTarget:
         weights = {to: 1.0} if isinstance(to, str) else to
         courses = [
             Course(
                 self.generation,
                 name,
                 self.pools[pool],
-                tuple(quotas.get(("route", name), []) + quotas.get(("pool", pool), [])),
+                tuple(limiters.get(("route", name), []) + limiters.get(("pool", pool), [])),
             )
             for pool in weights
         ]
-        return Way(name, tuple(accumulate(weights.values())), tuple(courses))
+        return RouteTarget(name, tuple(accumulate(weights.values())), tuple(courses))
 
-    def way(self, group: str, customer: str | None, key: str | None, data_set: int) -> Way:
-        number = self.index.first_match(group, customer, key, data_set)
-        return self.default if number is None else self.ways[number]
+    def find_target(self, group: str, customer: str | None, key: str | None, data_set: int) -> RouteTarget:
+        """Return the target of the first matching route, or the default."""
+        position = self.index.first_match(group, customer, key, data_set)
+        return self.default if position is None else self.targets[position]
 
 
-def _subject(limit: Limit) -> tuple[str, str]:
+def _limit_scope(limit: Limit) -> tuple[str, str]:
     return ("route", limit.route) if limit.route is not None else ("pool", limit.pool or "")
 
 
 def match_boxes(document: Document) -> Iterator[MatchBox]:
-    for number, route in enumerate(document.routes):
+    """Yield the match box of each route in document order."""
+    for position, route in enumerate(document.routes):
         match = route.match
-        yield MatchBox(number, match.groups, match.customers, match.key_prefixes, match.data_sets)
+        yield MatchBox(position, match.groups, match.customers, match.key_prefixes, match.data_sets)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,7 +22,7 @@
 from pathturn.process.gateway import GatewayProcess
 from pathturn.process.limits import shares
 from pathturn.process.settings import build
-from pathturn.routing.limits import Meter, Quota
+from pathturn.routing.limits import Limiter, Meter
 from pathturn.routing.pools import EnginePool
 from pathturn.routing.table import Course
 from pathturn.standins.farm import Farm, spare_address
@@ -149,8 +149,8 @@
             else int(value)
             for key, value in limits.items()
         }
-        quotas = (Quota(Limit(name, route=name, **told), Meter()),) if told else ()
-        self.courses[name] = Course(1, name, pool, quotas)
+        limiters = (Limiter(Limit(name, route=name, **told), Meter()),) if told else ()
+        self.courses[name] = Course(1, name, pool, limiters)
 
     def batch(self, name, group="0", key="-", left="10000", work="100", data_set="0", course=None):
         self.batches.append(name)
@@ -213,8 +213,10 @@
         assert int(least) * 1000 <= told[-1] <= int(most) * 1000, f"{name} may come back after {told}"
 
     def counts(self, course, open, out):
-        meter = self.courses[course].quotas[0].meter
-        assert (meter.open, meter.out) == (int(open), int(out)), f"open {meter.open}, out {meter.out}"
+        meter = self.courses[course].limiters[0].meter
+        assert (meter.open_batches, meter.dispatches_in_flight) == (int(open), int(out)), (
+            f"open {meter.open_batches}, out {meter.dispatches_in_flight}"
+        )
 
     def priority(self, name, level):
         told = [call[2] for call in self.calls if call[:2] == ("terms", self.number(name))]
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -15,7 +15,7 @@
 from pathturn.change.states import Change, Illegal, Refused, Sight
 from pathturn.config.document import CanaryStep, ChangePolicy, Document, Pool
 from pathturn.config.read import canonical
-from pathturn.routing.router import traits
+from pathturn.routing.router import batch_attributes
 
 SECOND = 1_000_000
 POLICY = ChangePolicy(canary=(CanaryStep(0.1, 5 * SECOND), CanaryStep(0.5, 5 * SECOND)), watch=60 * SECOND)
@@ -168,7 +168,7 @@
 def test_the_past_is_bounded_and_sorted_by_what_a_change_touches() -> None:
     lately = Lately(span_us=10 * SECOND, most=100)
     for number in range(300):
-        told = traits("look", None, None, number % 2, str(number))
+        told = batch_attributes("look", None, None, number % 2, str(number))
         lately.add(number * SECOND // 4, told, Ended("look", "returned", False, 5, 1.0))
     assert len(lately.rows) <= 41
     steps = lately.before(lambda told: told.data_set == 1, 75 * SECOND)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -101,7 +101,7 @@
     site.over()
     undone = site.conductor.history(1)[0]
     assert undone.state == "undone" and undone.reason.startswith("harm: ") and undone.figures
-    assert site.conductor.router.present.generation == 1 and site.conductor.router.trial is None
+    assert site.conductor.router.current.generation == 1 and site.conductor.router.candidate is None
     gevent.sleep(2.5)
     traffic.kill()
     site.settled()
@@ -148,13 +148,13 @@
     site.conductor.apply("good")
     assert site.conductor.status()["share"] == 0.5
     site.over()
-    assert site.conductor.history(1)[0].state == "kept" and site.conductor.router.present.generation == 2
+    assert site.conductor.history(1)[0].state == "kept" and site.conductor.router.current.generation == 2
     gevent.sleep(0.5)
-    quota = site.conductor.router.present.ways[0].courses[0].quotas[0]
-    assert quota.meter.out <= 2
+    limiter = site.conductor.router.current.targets[0].courses[0].limiters[0]
+    assert limiter.meter.dispatches_in_flight <= 2
     traffic.kill()
     site.settled()
-    assert (quota.meter.open, quota.meter.out) == (0, 0)
+    assert (limiter.meter.open_batches, limiter.meter.dispatches_in_flight) == (0, 0)
 
 
 def test_two_operators_at_once_and_requests_that_are_repeated(site) -> None:
@@ -195,7 +195,7 @@
         ("b", quick | {"unclear": "undo"}, {"routes": DOCUMENT["routes"]}, "kept"),
         ("c", quick | {"unclear": "keep"}, {}, "kept"),
     ):
-        base = site.conductor.router.present.generation
+        base = site.conductor.router.current.generation
         site.conductor.stage(request(name, base, "one", change=change, **more))
         site.conductor.apply(name)
         site.over()
@@ -223,12 +223,12 @@
     site.operator.ledger.moved = full
     with pytest.raises(Unwritten):
         site.conductor.apply("c")
-    assert site.conductor.router.trial is None and site.conductor.change.state == "staged"
+    assert site.conductor.router.candidate is None and site.conductor.change.state == "staged"
     site.operator.ledger.moved = moved
     site.conductor.apply("c")
     site.operator.ledger.moved = full
     assert site.conductor.undo("c", "me", "anyway").state == "undone"
-    assert site.conductor.router.trial is None and site.conductor.change is None
+    assert site.conductor.router.candidate is None and site.conductor.change is None
     site.operator.ledger.moved = moved
     assert site.operator.ledger.recover(1).state == "undone", "the next start undoes it too"
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -13,9 +13,9 @@
 from pathturn.core.interface import DRAINING, REFERENCED, REPEATABLE, Seat, ServiceGroup
 from pathturn.routing.checks import ValidationContext, validate
 from pathturn.routing.index import MatchBox, RouteIndex
-from pathturn.routing.limits import Meter, Quota
-from pathturn.routing.router import Router, touches, traits
-from pathturn.routing.table import Table
+from pathturn.routing.limits import Limiter, Meter
+from pathturn.routing.router import Router, batch_attributes, routing_differs
+from pathturn.routing.table import RoutingTable
 
 GROUPS = ("look", "load")
 SEATS = tuple(Seat(at, f"n{at}", "ab"[at % 2], "m", at // 2, 0) for at in range(6))
@@ -226,45 +226,45 @@
 
 
 def compiled(router, generation, **more):
-    table = Table(generation, read(BASE | more), GROUPS)
+    table = RoutingTable(generation, read(BASE | more), GROUPS)
     through(router.compile(table))
     return table
 
 
 def test_pools_follow_the_list_also_those_of_an_older_generation() -> None:
     router = Router()
-    router.listing(SEATS)
+    router.update_engines(SEATS)
     pools = {"all": {}, "a": {"zones": ["a"], "fallback": {"pool": "all", "ready_under": 2}}}
-    router.settle(compiled(router, 1, pools=pools, routes=[{"name": "r", "to": "a"}]))
-    course = router.course(traits("look", None, None, 0, "t"))
+    router.activate(compiled(router, 1, pools=pools, routes=[{"name": "r", "to": "a"}]))
+    course = router.course(batch_attributes("look", None, None, 0, "t"))
     assert course.pool.eligible == {0, 2, 4}
-    router.settle(compiled(router, 2))
+    router.activate(compiled(router, 2))
     drained = [seat._replace(state=DRAINING) if seat.index in (0, 2) else seat for seat in SEATS]
-    router.listing(drained)
+    router.update_engines(drained)
     assert course.pool.eligible == {0, 1, 2, 3, 4, 5}, "fewer than two are ready: the fallback's engines too"
-    router.listing(SEATS[1:2])
+    router.update_engines(SEATS[1:2])
     assert course.pool.eligible == {1} and not course.pool.members
-    router.listing(())
+    router.update_engines(())
     assert not course.pool.eligible
 
 
 def test_a_key_never_straddles_a_canary_and_a_wider_one_keeps_what_a_narrower_took() -> None:
     router = Router()
-    router.settle(compiled(router, 1))
+    router.activate(compiled(router, 1))
     trial = compiled(router, 2)
     taken = {}
     for share in (0.1, 0.5, 1.0):
-        router.try_out(trial, share, "c")
+        router.set_candidate(trial, share, "c")
         now = {
             key
             for key in map(str, range(2_000))
-            if router.course(traits("look", "f", key, 1, "t")).generation == 2
+            if router.course(batch_attributes("look", "f", key, 1, "t")).generation == 2
         }
         assert abs(len(now) / 2_000 - share) < 0.03 and now >= taken.get("before", set())
         taken["before"] = now
         for key in ("5", "17"):
             found = {
-                router.course(traits(group, customer, key, at, str(at))).generation
+                router.course(batch_attributes(group, customer, key, at, str(at))).generation
                 for group in GROUPS
                 for customer in (None, "f")
                 for at in range(9)
@@ -274,7 +274,7 @@
 
 def test_only_a_change_of_meaning_touches_a_batch() -> None:
     router = Router()
-    router.settle(compiled(router, 1, routes=[{"name": "r", "to": "a", "match": {"data_sets": [[1, 5]]}}]))
+    router.activate(compiled(router, 1, routes=[{"name": "r", "to": "a", "match": {"data_sets": [[1, 5]]}}]))
     renamed = compiled(router, 2, routes=[{"name": "s", "to": "a", "match": {"data_sets": [[1, 3], [4, 5]]}}])
     limited = compiled(
         router,
@@ -283,21 +283,21 @@
         limits=[{"name": "l", "pool": "a", "out": 3}],
     )
     for data_set in range(7):
-        told = traits("look", None, None, data_set, "t")
-        assert not touches(router.present, renamed, told)
-        assert touches(router.present, limited, told) == (1 <= data_set <= 5)
+        told = batch_attributes("look", None, None, data_set, "t")
+        assert not routing_differs(router.current, renamed, told)
+        assert routing_differs(router.current, limited, told) == (1 <= data_set <= 5)
 
 
 def test_a_change_renews_no_allowance() -> None:
     router = Router()
     limits = [{"name": "l", "pool": "all", "rate": "1/s", "burst": 2}]
-    router.settle(compiled(router, 1, limits=limits))
-    told = traits("look", None, None, 0, "t")
+    router.activate(compiled(router, 1, limits=limits))
+    told = batch_attributes("look", None, None, 0, "t")
     for _ in range(2):
         assert router.course(told).pause(0) is None
         router.course(told).took(0)
     assert router.course(told).pause(0) == 1_000_000
-    router.settle(compiled(router, 2, limits=limits))
+    router.activate(compiled(router, 2, limits=limits))
     assert router.course(told).pause(0) == 1_000_000
 
 
@@ -305,14 +305,14 @@
 @given(some.lists(some.integers(0, 400_000), max_size=60), some.integers(1, 5))
 def test_a_rate_lets_no_more_through_than_burst_and_time_allow(gaps, burst) -> None:
     limit = read(BASE | {"limits": [{"name": "l", "pool": "all", "rate": "5/s", "burst": burst}]}).limits[0]
-    quota, now, taken = Quota(limit, Meter()), 0, []
+    limiter, now, taken = Limiter(limit, Meter()), 0, []
     for gap in gaps:
         now += gap
-        if quota.pause(now) is None:
-            quota.took(now, True)
+        if limiter.pause(now) is None:
+            limiter.took(now, True)
             taken.append(now)
         else:
-            assert quota.pause(now + quota.pause(now)) is None, "the pause that is told is enough"
+            assert limiter.pause(now + limiter.pause(now)) is None, "the pause that is told is enough"
     for at, first in enumerate(taken):
         within = sum(each - first <= 1_000_000 for each in taken[at:])
         assert within <= burst + 5
