--- a/pathturn/routing/table.py
+++ b/pathturn/routing/table.py
@@ -17,8 +17,8 @@
 def hash_fraction(salt: str, split_key: str) -> float:
     """Map the key to [0, 1), with the same result in every gateway and process.
 
-    A CRC would not do: it is linear, so that another salt would split the same keys along the same lines, and
-    consecutively numbered keys would be distributed unevenly.
+    Not a CRC: it is linear, so that every salt would select the same keys together, and consecutively
+    numbered keys would be distributed unevenly.
     """
     digest = blake2b(split_key.encode(), digest_size=8, key=salt.encode()[:64]).digest()
     return int.from_bytes(digest, "big") / HASH_RANGE
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,10 +1,11 @@
-"""Routes, pools and limits apart from any socket, against plain models; documents that are wrong, fault by
-fault."""
+"""Routes, pools, limits and background jobs without sockets, compared with simple models; invalid documents
+with the one fault that each must report.
+"""
 
 import orjson
 import pytest
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from pathturn.background.job_selection import CpuBudget, QueuedJob, select_job
 from pathturn.background.scheduler import JobCancelled, Scheduler
@@ -18,14 +19,14 @@
 from pathturn.routing.table import RoutingTable
 
 GROUPS = ("look", "load")
-SEATS = tuple(Seat(at, f"n{at}", "ab"[at % 2], "m", at // 2, 0) for at in range(6))
+ENGINES = tuple(Seat(index, f"n{index}", "ab"[index % 2], "m", index // 2, 0) for index in range(6))
 CONTEXT = ValidationContext(
     {
         "look": ServiceGroup(1, 1, 1, 1, 1, REPEATABLE),
         "load": ServiceGroup(1, 1, 1, 1, 1, REFERENCED, repeat_scope="zone"),
         "bound": ServiceGroup(1, 1, 1, 1, 1, REPEATABLE, zones=frozenset("b")),
     },
-    SEATS,
+    ENGINES,
     0.1,
     1000,
 )
@@ -33,78 +34,78 @@
 
 
 def subset(values):
-    return some.none() | some.lists(some.sampled_from(values), min_size=1, max_size=3, unique=True).map(tuple)
+    return st.none() | st.lists(st.sampled_from(values), min_size=1, max_size=3, unique=True).map(tuple)
 
 
-RANGE = some.tuples(some.integers(0, 12), some.integers(0, 12)).map(lambda pair: (min(pair), max(pair)))
-BOXES = some.lists(
-    some.tuples(
+RANGE = st.tuples(st.integers(0, 12), st.integers(0, 12)).map(lambda pair: (min(pair), max(pair)))
+MATCH_FIELDS = st.lists(
+    st.tuples(
         subset(GROUPS),
         subset(["f1", "f2"]),
         subset(["", "a", "ab", "abc", "b"]),
-        some.none() | some.lists(RANGE, min_size=1, max_size=3).map(tuple),
+        st.none() | st.lists(RANGE, min_size=1, max_size=3).map(tuple),
     ),
     max_size=12,
 )
 
 
-def fits(box, group, customer, key, data_set):
+def matches(box, group, customer, key, data_set):
     return (
         (box.groups is None or group in box.groups)
         and (box.customers is None or customer in box.customers)
-        and (box.prefixes is None or any((key or "").startswith(each) for each in box.prefixes))
+        and (box.prefixes is None or any((key or "").startswith(prefix) for prefix in box.prefixes))
         and (box.ranges is None or any(low <= data_set <= high for low, high in box.ranges))
     )
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(
-    BOXES,
-    some.sampled_from(GROUPS),
-    some.sampled_from([None, "f1", "f2", "f3"]),
-    some.sampled_from([None, "", "a", "ab", "abcd", "b", "c"]),
-    some.integers(0, 13),
+    MATCH_FIELDS,
+    st.sampled_from(GROUPS),
+    st.sampled_from([None, "f1", "f2", "f3"]),
+    st.sampled_from([None, "", "a", "ab", "abcd", "b", "c"]),
+    st.integers(0, 13),
 )
-def test_the_index_finds_what_a_scan_finds(rows, group, customer, key, data_set) -> None:
+def test_route_index_finds_the_same_route_as_a_linear_scan(rows, group, customer, key, data_set) -> None:
     boxes = [MatchBox(position, *row) for position, row in enumerate(rows)]
     index = RouteIndex(GROUPS)
     through(index.build(boxes))
-    scan = next((box.position for box in boxes if fits(box, group, customer, key, data_set)), None)
-    assert index.first_match(group, customer, key, data_set) == scan
+    expected = next((box.position for box in boxes if matches(box, group, customer, key, data_set)), None)
+    assert index.first_match(group, customer, key, data_set) == expected
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(BOXES)
-def test_a_route_told_to_be_shadowed_never_matches(rows) -> None:
+@given(MATCH_FIELDS)
+def test_a_route_reported_as_shadowed_never_matches(rows) -> None:
     boxes = [MatchBox(position, *row) for position, row in enumerate(rows)]
     index = RouteIndex(GROUPS)
     through(index.build(boxes))
     for box in boxes:
-        by = index.shadowed_by(box)
-        reached = any(
+        shadowing = index.shadowed_by(box)
+        matched = any(
             index.first_match(group, customer, key, data_set) == box.position
             for group in GROUPS
             for customer in (None, "f1", "f2", "f3")
             for key in (None, "a", "ab", "abc", "abcd", "b", "c")
             for data_set in range(14)
         )
-        assert by is None or (not reached and by < box.position)
+        assert shadowing is None or (not matched and shadowing < box.position)
 
 
-def test_a_document_keeps_its_meaning_in_its_canonical_form() -> None:
-    told = BASE | {
+def test_canonical_form_of_a_document_reads_back_as_the_same_document() -> None:
+    raw = BASE | {
         "routes": [{"name": "r", "to": {"all": "25%", "a": 0.75}, "match": {"data_sets": [[1, 9]]}}],
         "limits": [{"name": "l", "pool": "a", "rate": "90/m", "further": "5%", "open": 3}],
         "change": {"watch": "1m", "canary": [{"share": "10%", "hold": "1500ms"}]},
     }
-    document = read(told)
+    document = read(raw)
     assert document.change.watch == 60_000_000 and document.change.canary[0].hold == 1_500_000
     assert document.limits[0].rate == 1.5 and document.routes[0].to == {"all": 0.25, "a": 0.75}
     assert read(parse(canonical(document))) == document
-    assert through(reading(through(parsing(orjson.dumps(told))))) == document
+    assert through(reading(through(parsing(orjson.dumps(raw))))) == document
 
 
-# Each is one fault: what is changed in a good document, where it is told, and a word of what or of the fix.
+# A change that makes a valid document invalid, the path of the one fault, and words of its text.
 FAULTS = [
     ({"pool": {}}, "pool", "'pools'"),
     ({"version": 2}, "version", "2"),
@@ -185,7 +186,7 @@
 
 
 @pytest.mark.parametrize(("change", "path", "word"), FAULTS)
-def test_a_fault_is_told_once_with_path_what_and_fix(change, path, word) -> None:
+def test_each_fault_is_reported_once_with_path_description_and_fix(change, path, word) -> None:
     try:
         faults = validate(read(BASE | change), CONTEXT)
     except Unusable as fault:
@@ -194,7 +195,7 @@
     assert word in faults[0].what + faults[0].fix and faults[0].fix
 
 
-def test_all_faults_are_told_at_once() -> None:
+def test_all_faults_are_reported_at_once() -> None:
     with pytest.raises(Unusable) as found:
         read(BASE | {"pool": 1, "default": 3, "routes": [{"nme": "x"}, 7], "change": {"watch": "x"}})
     assert {fault.path for fault in found.value.faults} == {
@@ -210,69 +211,71 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(
-    some.recursive(
-        some.none() | some.booleans() | some.integers() | some.text(max_size=4),
-        lambda inner: some.lists(inner, max_size=3)
-        | some.dictionaries(
-            some.sampled_from(["version", "pools", "routes", "to", "match", "change", "x"]), inner
+    st.recursive(
+        st.none() | st.booleans() | st.integers() | st.text(max_size=4),
+        lambda inner: st.lists(inner, max_size=3)
+        | st.dictionaries(
+            st.sampled_from(["version", "pools", "routes", "to", "match", "change", "x"]), inner
         ),
     )
 )
-def test_whatever_stands_there_is_a_document_or_has_faults(raw) -> None:
+def test_any_json_value_is_a_document_or_is_rejected_with_faults(raw) -> None:
     try:
         assert isinstance(read(raw), Document)
     except Unusable as fault:
         assert fault.faults and all(each.fix for each in fault.faults)
 
 
-def compiled(router, generation, **more):
-    table = RoutingTable(generation, read(BASE | more), GROUPS)
+def compiled(router, generation, **fields):
+    table = RoutingTable(generation, read(BASE | fields), GROUPS)
     through(router.compile(table))
     return table
 
 
-def test_pools_follow_the_list_also_those_of_an_older_generation() -> None:
+def test_pools_follow_the_engine_list_even_after_their_generation_was_replaced() -> None:
     router = Router()
-    router.update_engines(SEATS)
+    router.update_engines(ENGINES)
     pools = {"all": {}, "a": {"zones": ["a"], "fallback": {"pool": "all", "ready_under": 2}}}
     router.activate(compiled(router, 1, pools=pools, routes=[{"name": "r", "to": "a"}]))
     course = router.course(batch_attributes("look", None, None, 0, "t"))
     assert course.pool.eligible == {0, 2, 4}
     router.activate(compiled(router, 2))
-    drained = [seat._replace(state=DRAINING) if seat.index in (0, 2) else seat for seat in SEATS]
-    router.update_engines(drained)
-    assert course.pool.eligible == {0, 1, 2, 3, 4, 5}, "fewer than two are ready: the fallback's engines too"
-    router.update_engines(SEATS[1:2])
+    draining = [engine._replace(state=DRAINING) if engine.index in (0, 2) else engine for engine in ENGINES]
+    router.update_engines(draining)
+    assert course.pool.eligible == {0, 1, 2, 3, 4, 5}, (
+        "fewer than two members are ready: the fallback's engines are eligible too"
+    )
+    router.update_engines(ENGINES[1:2])
     assert course.pool.eligible == {1} and not course.pool.members
     router.update_engines(())
     assert not course.pool.eligible
 
 
-def test_a_key_never_straddles_a_canary_and_a_wider_one_keeps_what_a_narrower_took() -> None:
+def test_a_canary_never_splits_a_key_and_a_larger_share_keeps_the_keys_of_a_smaller_one() -> None:
     router = Router()
     router.activate(compiled(router, 1))
-    trial = compiled(router, 2)
-    taken = {}
+    candidate = compiled(router, 2)
+    previous = set()
     for share in (0.1, 0.5, 1.0):
-        router.set_candidate(trial, share, "c")
-        now = {
+        router.set_candidate(candidate, share, "c")
+        keys = {
             key
             for key in map(str, range(2_000))
             if router.course(batch_attributes("look", "f", key, 1, "t")).generation == 2
         }
-        assert abs(len(now) / 2_000 - share) < 0.03 and now >= taken.get("before", set())
-        taken["before"] = now
+        assert abs(len(keys) / 2_000 - share) < 0.03 and keys >= previous
+        previous = keys
         for key in ("5", "17"):
-            found = {
+            generations = {
                 router.course(batch_attributes(group, customer, key, at, str(at))).generation
                 for group in GROUPS
                 for customer in (None, "f")
                 for at in range(9)
             }
-            assert len(found) == 1
+            assert len(generations) == 1
 
 
-def test_only_a_change_of_meaning_touches_a_batch() -> None:
+def test_only_a_change_of_effect_changes_the_routing_of_a_batch() -> None:
     router = Router()
     router.activate(compiled(router, 1, routes=[{"name": "r", "to": "a", "match": {"data_sets": [[1, 5]]}}]))
     renamed = compiled(router, 2, routes=[{"name": "s", "to": "a", "match": {"data_sets": [[1, 3], [4, 5]]}}])
@@ -283,39 +286,41 @@
         limits=[{"name": "l", "pool": "a", "out": 3}],
     )
     for data_set in range(7):
-        told = batch_attributes("look", None, None, data_set, "t")
-        assert not routing_differs(router.current, renamed, told)
-        assert routing_differs(router.current, limited, told) == (1 <= data_set <= 5)
+        attributes = batch_attributes("look", None, None, data_set, "t")
+        assert not routing_differs(router.current, renamed, attributes)
+        assert routing_differs(router.current, limited, attributes) == (1 <= data_set <= 5)
 
 
-def test_a_change_renews_no_allowance() -> None:
+def test_a_change_of_the_document_does_not_reset_the_usage_of_a_limit() -> None:
     router = Router()
     limits = [{"name": "l", "pool": "all", "rate": "1/s", "burst": 2}]
     router.activate(compiled(router, 1, limits=limits))
-    told = batch_attributes("look", None, None, 0, "t")
+    attributes = batch_attributes("look", None, None, 0, "t")
     for _ in range(2):
-        assert router.course(told).pause(0) is None
-        router.course(told).took(0)
-    assert router.course(told).pause(0) == 1_000_000
+        assert router.course(attributes).pause(0) is None
+        router.course(attributes).took(0)
+    assert router.course(attributes).pause(0) == 1_000_000
     router.activate(compiled(router, 2, limits=limits))
-    assert router.course(told).pause(0) == 1_000_000
+    assert router.course(attributes).pause(0) == 1_000_000
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
-@given(some.lists(some.integers(0, 400_000), max_size=60), some.integers(1, 5))
-def test_a_rate_lets_no_more_through_than_burst_and_time_allow(gaps, burst) -> None:
+@given(st.lists(st.integers(0, 400_000), max_size=60), st.integers(1, 5))
+def test_a_rate_limit_admits_no_more_than_its_burst_and_rate_allow(gaps, burst) -> None:
     limit = read(BASE | {"limits": [{"name": "l", "pool": "all", "rate": "5/s", "burst": burst}]}).limits[0]
-    limiter, now, taken = Limiter(limit, Meter()), 0, []
+    limiter, now, admitted = Limiter(limit, Meter()), 0, []
     for gap in gaps:
         now += gap
         if limiter.pause(now) is None:
             limiter.took(now, True)
-            taken.append(now)
+            admitted.append(now)
         else:
-            assert limiter.pause(now + limiter.pause(now)) is None, "the pause that is told is enough"
-    for at, first in enumerate(taken):
-        within = sum(each - first <= 1_000_000 for each in taken[at:])
-        assert within <= burst + 5
+            assert limiter.pause(now + limiter.pause(now)) is None, (
+                "a batch that waits for the reported time is admitted"
+            )
+    for position, first in enumerate(admitted):
+        within_1_s = sum(time - first <= 1_000_000 for time in admitted[position:])
+        assert within_1_s <= burst + 5
 
 
 def test_jobs_run_by_priority_then_cpu_used_and_a_near_deadline_goes_first() -> None:
@@ -333,30 +338,31 @@
 
 def test_jobs_return_results_can_be_cancelled_and_fail_independently() -> None:
     clock = [0]
-    busy = [True]
-    scheduler = Scheduler(lambda: clock[0], lambda: busy[0])
+    traffic_waiting = [True]
+    scheduler = Scheduler(lambda: clock[0], lambda: traffic_waiting[0])
 
-    def job(end):
+    def job(outcome):
         for _ in range(3):
             yield
-        if isinstance(end, Exception):
-            raise end
-        return end
+        if isinstance(outcome, Exception):
+            raise outcome
+        return outcome
 
     good, bad = scheduler.submit("good", job(7)), scheduler.submit("bad", job(KeyError("x")))
-    late, off = scheduler.submit("late", job(1), deadline_us=10_000_000), scheduler.submit("off", job(1))
-    assert not scheduler.run_slice(), "traffic goes first"
-    busy[0] = False
-    scheduler.cancel(off)
+    late = scheduler.submit("late", job(1), deadline_us=10_000_000)
+    cancelled = scheduler.submit("cancelled", job(1))
+    assert not scheduler.run_slice(), "no slice may run while traffic is waiting"
+    traffic_waiting[0] = False
+    scheduler.cancel(cancelled)
     clock[0] = 20_000_000
     while scheduler.jobs:
         scheduler.run_slice()
     assert good.result.get() == 7
-    for failed, kind in ((bad, KeyError), (late, JobCancelled), (off, JobCancelled)):
-        with pytest.raises(kind):
+    for failed, error in ((bad, KeyError), (late, JobCancelled), (cancelled, JobCancelled)):
+        with pytest.raises(error):
             failed.result.get()
 
 
-def test_a_document_of_one_pool_is_whole() -> None:
+def test_a_document_with_one_pool_and_one_route_is_valid() -> None:
     document = Document(1, {"all": Pool()}, "all", (Route("r", "all"),))
     assert not validate(document, CONTEXT) and read(parse(canonical(document))) == document
