--- a/pathturn/routing/router.py
+++ b/pathturn/routing/router.py
@@ -28,7 +28,7 @@
 def batch_attributes(
     group: str, customer: str | None, key: str | None, data_set: int, ticket: str
 ) -> BatchAttributes:
-    """Return the attributes of a batch; its split key is the first of key, customer and ticket that is set."""
+    """Return a batch's attributes; the split key is the first of key, customer and ticket that is set."""
     return BatchAttributes(group, customer, key, data_set, key or customer or ticket)
 
 
