--- a/pathturn/adapter/codec.py
+++ b/pathturn/adapter/codec.py
@@ -31,7 +31,7 @@
     def __init__(self, seed: int, config: dict[str, Any]) -> None:
         self.steps: list[list] = []
         self.events: list[tuple] = []
-        self.decider, groups = build(seed, config)
+        self.dispatcher, groups = build(seed, config)
         self.group_index = {name: index for index, name in enumerate(groups)}
         self.tells_cost = bool(config.get("domain", {}).get("costInAnswers"))
         self.connect_timeout_us = config.get("limits", {}).get("dialTimeoutUs") or inf
@@ -45,7 +45,7 @@
         self.node: list[int] = []
 
     def play(self, now: int) -> list[list]:
-        self.decider.round(now, self.events, self)
+        self.dispatcher.round(now, self.events, self)
         self.events, steps, self.steps = [], self.steps, []
         # Given out again only after the round: the module may still name these until it returns.
         self.free += self.released
@@ -79,11 +79,11 @@
         self.settle(batch)
 
     # The writer's side.
-    def dispatch(self, batch: int, engine: int, limit_us: int) -> None:
+    def dispatch(self, batch: int, engine: int, time_limit_us: int) -> None:
         self.out[batch] += 1
-        self.steps.append(["RELAY", self.rid[batch], self.node[engine], limit_us])
+        self.steps.append(["RELAY", self.rid[batch], self.node[engine], time_limit_us])
 
-    def terms(self, batch: int, priority: int, grant_mb: float) -> None:
+    def set_resources(self, batch: int, priority: int, grant_mb: float) -> None:
         self.steps.append(["LIMITS_FOR", self.rid[batch], priority, grant_mb])
 
     def cancel(self, batch: int, dispatch: int) -> None:
@@ -100,7 +100,7 @@
     def probe(self, engine: int) -> None:
         self.steps.append(["SAMPLE", self.node[engine]])
 
-    def wake(self, delay_us: int, tag: int) -> None:
+    def schedule_wakeup(self, delay_us: int, tag: int) -> None:
         self.steps.append(["SCHEDULE", delay_us, tag])
 
     def subscribe(self, on: bool) -> None:
@@ -114,7 +114,7 @@
         hinted = (marks or 0) & 1
         self.events.append(
             (
-                "batch",
+                "batch_received",
                 self.take(rid),
                 self.group_index[grade],
                 account,
@@ -138,7 +138,7 @@
             outcome = names.CONNECT_REFUSED  # one name for both here; a time-out is told by its length
         self.events.append(
             (
-                "answer",
+                "dispatch_finished",
                 batch,
                 trial,
                 self.engine(node),
@@ -155,26 +155,28 @@
 
     def notice(self, rid, node, sort, level, trial) -> None:
         if rid in self.batch_of:
-            self.events.append(("note", self.batch_of[rid], self.engine(node), sort, level or 0, trial or 0))
+            self.events.append(
+                ("engine_notice", self.batch_of[rid], self.engine(node), sort, level or 0, trial or 0)
+            )
 
     def withdrawn(self, rid) -> None:
         batch = self.batch_of.get(rid)
         if batch is not None:
-            self.events.append(("withdrawn", batch))
+            self.events.append(("batch_withdrawn", batch))
             self.end(batch)
 
     def pong(self, latency, node, rc, load) -> None:
-        self.events.append(("probed", self.engine(node), rc == "ok", latency or 0, load))
+        self.events.append(("probe_finished", self.engine(node), rc == "ok", latency or 0, load))
 
     def fired(self, tag) -> None:
-        self.events.append(("wake", tag))
+        self.events.append(("timer_fired", tag))
 
     def announce(self, form, entries) -> None:
         rows = [
             (self.engine(node), zone, machine, cell, state, size, started or 0)
             for node, zone, machine, cell, state, size, started in (_pad(row, 7) for row in entries)
         ]
-        self.events.append(("listing", form, rows))
+        self.events.append(("engine_list", form, rows))
 
 
 EVENTS = {
@@ -212,7 +214,7 @@
             return
         elif name == "ANNOUNCE":
             form, _, page = _pad(fields, 3)
-            front.announce(form, [] if form == names.FAILED else self.pages.get(page, []))
+            front.announce(form, [] if form == names.LIST_UNAVAILABLE else self.pages.get(page, []))
         elif name in EVENTS:
             handler, width = EVENTS[name]
             handler(front, *_pad(fields, width))
--- a/pathturn/change/conductor.py
+++ b/pathturn/change/conductor.py
@@ -236,7 +236,7 @@
         if self.guard is None or batch.taken_us < self.began_us:
             return
         kind = routing_differs(self.router.current, self.table, told)
-        served = batch.course.generation == self.change.generation
+        served = batch.destination.generation == self.change.generation
         self.guard.add(now - self.began_us, (TOUCHED if served else BESIDE) if kind else LEFT, ended)
 
     def look(self) -> None:
@@ -357,6 +357,6 @@
 
 def _ended(batch: Batch, end: End, now: int, group: names.ServiceGroup) -> Ended:
     took, how = now - batch.taken_us, end.how or "given_up"
-    late = how != names.RETURNED or took > batch.goal_us
+    late = how != names.RETURNED or took > batch.response_goal_us
     worth = 0.0 if how != names.RETURNED else group.late_utility if late else 1.0
     return Ended(batch.group, how, late, took, min(1.0, worth))
--- a/pathturn/cli/config.py
+++ b/pathturn/cli/config.py
@@ -49,7 +49,7 @@
 def _validation_context(path: Path):  # noqa: ANN202 - its type is imported by the command alone
     import orjson
 
-    from pathturn.core.interface import Seat
+    from pathturn.core.interface import EngineEntry
     from pathturn.process.settings import build, further_share
     from pathturn.routing.checks import ValidationContext
     from pathturn.wire import directory
@@ -58,5 +58,5 @@
         told = orjson.loads(path.read_bytes())
         _, rows = directory.known(told["known"])
         _, groups = build(int(told["seed"], 16), told["settings"])
-    seats = tuple(Seat(at, row[0], *row[2:6]) for at, row in enumerate(rows))
+    seats = tuple(EngineEntry(at, row[0], *row[2:6]) for at, row in enumerate(rows))
     return ValidationContext(groups, seats, further_share(told["settings"]))
--- a/pathturn/core/choice.py
+++ b/pathturn/core/choice.py
@@ -1,6 +1,9 @@
-"""All decisions of one gateway. Build a Gateway from its settings, then call round(now_us, events, writer)
-once a round with all that came in; decisions go straight into the writer. Events, the writer's protocol and
-shared names: pathturn/core/interface.py. Times are whole microseconds, work is one thread's time."""
+"""The decisions of one gateway: where and when each batch is dispatched, and how it ends.
+
+Build a GatewayDispatcher from the settings, then call round(now_us, events, writer) once per round with all
+events since the last one; decisions are written to the writer. Events, the writer protocol and shared names
+are defined in pathturn/core/interface.py. Times are whole microseconds; work is single-threaded run time.
+"""
 
 import heapq
 from collections import Counter, defaultdict, deque, namedtuple
@@ -9,7 +12,7 @@
 from zlib import crc32
 
 from pathturn.core import interface as names
-from pathturn.structures.ring import Ring
+from pathturn.structures.sliding_window import SlidingWindowSum
 
 PERIOD_US, SMOOTH_US, TICK_US = 1_000_000, 3_000_000, 25_000  # the first two as the design starts
 SLICE = 0.1  # of the way from the even start to what reports suggest, a step of the solver
@@ -24,18 +27,18 @@
 Dispatch = namedtuple("Dispatch", "batch sent load")
 # Of a key held: more, written again so far apart as clients do, would outlast the patience they tell. No more
 # than takes a quarter of the group's time limit, since that much is taken off what each of them tells.
-ROW, APART_US, ROW_PART = 32, 60_000, 4
+MAX_KEY_QUEUE, APART_US, ROW_PART = 32, 60_000, 4
 SKIPS = 24  # held batches looked past in a round: bounds the work when the first ones have nowhere to go
 
 
 def row(group: names.ServiceGroup) -> int:
     """How many batches of one key are held at most."""
-    return max(1, min(ROW, group.limit_us // (ROW_PART * APART_US)))
+    return max(1, min(MAX_KEY_QUEUE, group.time_limit_us // (ROW_PART * APART_US)))
 
 
 class Learned:
     def __init__(self, group: names.ServiceGroup, pages: bool) -> None:
-        self.group, self.usual = group, float(group.goal_us) * group.threads / 2
+        self.group, self.usual = group, float(group.response_goal_us) * group.threads / 2
         self.bias, self.grant, self.spills = 1.0, 2.0, 0.02 if pages else 0.15
         self.pace, self.latency, self.seen = 1.5, 0.0, 0
 
@@ -63,10 +66,12 @@
         self.work = max(1_000.0, work_us * learned.bias or learned.usual)
         self.solo = self.work / self.group.threads
         # Counted from this try: a short time left may be a late try, but also a client that waits less.
-        self.goal = now + self.group.goal_us + int(self.group.goal_stretch * self.solo)
+        self.goal = now + self.group.response_goal_us + int(self.group.goal_runtime_factor * self.solo)
         self.sends, self.kills, self.tried, self.out = 0, 0, set(), {}
         self.over = self.small = self.spilt = False
-        self.ran_since = self.ran_at = self.key = self.data_set = self.course = self.pool = self.entry = None
+        self.ran_since = self.ran_at = self.key = self.data_set = self.destination = self.pool = (
+            self.entry
+        ) = None
 
     def may_resend(self, now: int) -> bool:
         return (
@@ -74,13 +79,13 @@
             or self.group.kind == names.REPEATABLE
             or (
                 self.group.kind == names.REFERENCED
-                and now - self.ran_since < 0.95 * self.group.repeat_span_us
+                and now - self.ran_since < 0.95 * self.group.dedup_window_us
             )
         )
 
     def harmless(self) -> bool:
         """Whether a pushback would tell the truth: trying again cannot have a second effect."""
-        dropped = self.group.kind == names.REFERENCED and self.group.repeat_scope == "all"
+        dropped = self.group.kind == names.REFERENCED and self.group.dedup_scope == "all"
         return dropped or self.group.kind == names.REPEATABLE or (self.ran_since is None and not self.out)
 
     def allowed(self, engine: "Engine") -> bool:
@@ -89,12 +94,12 @@
         if (
             (group.zones is not None and engine.zone not in group.zones)
             or (group.machines is not None and engine.machine not in group.machines)
-            or (self.course is not None and not self.course.reaches(engine.index))
+            or (self.destination is not None and not self.destination.allows_engine(engine.index))
         ):
             return False
-        anywhere = first is None or group.kind == names.REPEATABLE or group.repeat_scope == "all"
+        anywhere = first is None or group.kind == names.REPEATABLE or group.dedup_scope == "all"
         return anywhere or (
-            engine.zone == first.zone if group.repeat_scope == "zone" else engine.cell == first.cell
+            engine.zone == first.zone if group.dedup_scope == "zone" else engine.cell == first.cell
         )
 
 
@@ -128,12 +133,17 @@
         self.index, self.credit, self.share, self.threads = index, credit, 0.0, 0
         self.window = Window(width, NARROWEST, WIDEST, now)
         self.state, self.started, self.cold_until, self.load, self.load_at = names.GONE, 0, 0, 0.0, -inf
-        self.line, self.answers = Ring(30 * PERIOD_US, 6, 5), Ring(3 * PERIOD_US, 6, 2)
+        self.line, self.answers = (
+            SlidingWindowSum(30 * PERIOD_US, 6, 5),
+            SlidingWindowSum(3 * PERIOD_US, 6, 2),
+        )
         self.heard, self.shut_until, self.out, self.sent, self.bears = now, 0, {}, None, 0.0
         self.warm = deque(maxlen=8)
 
     def holds(self, data_set: int) -> bool:
-        return any(one.batch.data_set == data_set and one.batch.group.holds_set for one in self.out.values())
+        return any(
+            one.batch.data_set == data_set and one.batch.group.locks_data_set for one in self.out.values()
+        )
 
     def hear_load(self, now: int, load: float) -> None:
         """The design's moving average; the first report stands as it is."""
@@ -145,7 +155,12 @@
     """Further dispatches: spent is counted too high, taken too low, by the oldest bucket each."""
 
     def __init__(self, free: float, share: float, span_us: int) -> None:
-        self.free, self.share, self.taken, self.spent = free, share, Ring(span_us, 20), Ring(span_us, 20)
+        self.free, self.share, self.taken, self.spent = (
+            free,
+            share,
+            SlidingWindowSum(span_us, 20),
+            SlidingWindowSum(span_us, 20),
+        )
 
     def allows(self, now: int) -> bool:
         return self.spent.sums(now)[0] + 1 <= self.free + self.share * self.taken.sums(now, within=True)[0]
@@ -181,7 +196,7 @@
             warm = self.least + (1 - self.least) * age / self.cold_us
             lot = crc32(f"{self.salt}:{engine.index}:{(now - start) // self.fall_us}".encode()) / 2**32
             mine = self.least_work if lot < self.lots * warm * engine.cores else 0.0
-        engine.sent = engine.sent or Ring(self.fall_us, 10)
+        engine.sent = engine.sent or SlidingWindowSum(self.fall_us, 10)
         return max(0.0, mine - engine.sent.sums(now)[0]) if now >= self.from_us else 0.0
 
 
@@ -237,41 +252,48 @@
     return target
 
 
-class Gateway:
+class GatewayDispatcher:
     def __init__(
         self,
         *,
         seed,
         instance,
-        gateways,
+        gateway_count,
         groups,
-        cores,
-        grants,
-        pages,
-        note_us,
+        cores_by_machine,
+        sets_memory_grants,
+        pages_on_shortage,
+        notice_interval_us,
         report_fields,
         probes,
-        ask_list,
+        subscribes_to_list,
         max_dispatches,
         may_cancel,
-        retry_us,
-        step_us,
-        cold,
-        key_rest_us,
-        budget,
-        costs,
+        max_retry_after_us,
+        min_round_interval_us,
+        slow_start,
+        key_quiet_us,
+        retry_budget,
+        reports_costs,
     ) -> None:
         self.seed, self.instance, self.counter = seed, instance, count()
-        self.learned = [Learned(group, pages or not grants) for group in groups]
-        self.cores, self.gateways = cores, max(1, gateways)
-        self.grants, self.note_us, self.costs = grants, note_us, costs
+        self.learned = [Learned(group, pages_on_shortage or not sets_memory_grants) for group in groups]
+        self.cores, self.gateway_count = cores_by_machine, max(1, gateway_count)
+        self.grants, self.note_us, self.costs = sets_memory_grants, notice_interval_us, reports_costs
         # Of utilisations, cores before disks before memory: the design's order, carried on where it ends.
         self.load_field = next((field for field in LOADS if field in report_fields), None)
-        self.fields, self.probes, self.step_us, self.stopping = report_fields, probes, step_us, False
-        self.max_dispatches, self.may_cancel, self.retry_us = max_dispatches, may_cancel, retry_us
-        self.budget = Budget(*(budget or (inf, 0.0, PERIOD_US)))
-        self.cold = ColdGuard(*cold, self.gateways, (seed, instance), min(one.usual for one in self.learned))
-        self.keys, self.ask_at = KeyLines(key_rest_us), 0 if ask_list else inf
+        self.fields, self.probes, self.step_us, self.stopping = (
+            report_fields,
+            probes,
+            min_round_interval_us,
+            False,
+        )
+        self.max_dispatches, self.may_cancel, self.retry_us = max_dispatches, may_cancel, max_retry_after_us
+        self.budget = Budget(*(retry_budget or (inf, 0.0, PERIOD_US)))
+        self.cold = ColdGuard(
+            *slow_start, self.gateway_count, (seed, instance), min(one.usual for one in self.learned)
+        )
+        self.keys, self.ask_at = KeyLines(key_quiet_us), 0 if subscribes_to_list else inf
         self.engines, self.batches, self.ready, self.later, self.wake_at = {}, {}, {}, [], 0
         self.mean_work = sum(each.usual for each in self.learned) / len(self.learned)
         # Over the whole fleet: for all batches, and for small ones by themselves.
@@ -284,12 +306,12 @@
     def chance(self, identity: int) -> float:
         return crc32(f"{self.seed}:{self.instance}:{identity}:{next(self.counter)}".encode()) / 2**32
 
-    def may_begin(self, index: int, now_us: int) -> bool:
+    def may_start(self, index: int, now_us: int) -> bool:
         """Asked before an attempt's first byte: a repeat's window may have ended while it waited."""
         batch = self.batches.get(index)
         return batch is not None and batch.may_resend(now_us)
 
-    def row_us(self, group: names.ServiceGroup) -> int:
+    def key_queue_drain_us(self, group: names.ServiceGroup) -> int:
         """How long the last of a key's batches that were held together waits to be written again."""
         return APART_US * row(group)
 
@@ -317,9 +339,9 @@
         self.debt = min(DEBT_US * width, max(0.0, self.debt + over * (self.now - self.debt_at)))
         self.debt_at = self.now
 
-    def wake(self, tag: int) -> None: ...
+    def timer_fired(self, tag: int) -> None: ...
 
-    def stop(self, left_us: int) -> None:
+    def shutdown(self, left_us: int) -> None:
         self.stopping = True  # what is not out yet has better chances elsewhere, and is told so at once
         for batch in list(self.batches.values()):
             batch.last = min(batch.last, self.now + left_us)
@@ -332,18 +354,18 @@
         due = min(self.later[0][0] if self.later else inf, self.ask_at, poll)
         if due < inf and not self.now < self.wake_at <= due:
             self.wake_at = max(due, self.now + self.step_us)
-            self.out.wake(self.wake_at - self.now, 0)
+            self.out.schedule_wakeup(self.wake_at - self.now, 0)
 
-    def listing(self, form: int, entries: list[tuple]) -> None:
-        if form == names.FAILED:
+    def engine_list(self, form: int, entries: list[tuple]) -> None:
+        if form == names.LIST_UNAVAILABLE:
             self.ask_at = self.now + int(PERIOD_US * (1 + self.chance(form)))
             return
-        if form != names.CHANGES:
+        if form != names.LIST_DELTA:
             for index in self.engines.keys() - {entry[0] for entry in entries}:
                 self.engines[index].state = names.GONE
         for index, zone, machine, cell, state, size, started in entries:
             engine = self.engines[index] = self.engines.get(index) or Engine(
-                index, 1.2 / self.gateways, self.chance(index), self.now
+                index, 1.2 / self.gateway_count, self.chance(index), self.now
             )
             engine.zone, engine.machine, engine.cell, engine.state = zone, machine, cell, state
             engine.cores, engine.started = self.cores.get(machine) or size or 1, started
@@ -353,7 +375,7 @@
         self.engines = {at: each for at, each in self.engines.items() if each.out or each.state != names.GONE}
         live, self.solved_at = self._live(), 0
         self.engine_threads = THREADS_PER_CORE * sum(each.cores for each in live) / len(live) if live else 1.0
-        fair = len(live) / self.gateways
+        fair = len(live) / self.gateway_count
         if live and not self.fleet:
             # A thin gateway hears too little to tell a crowd: where costs are told, its part is all it takes.
             self.fleet = (
@@ -363,8 +385,8 @@
         for window, least in zip(self.fleet, (fair, 0.3 * fair)):
             window.narrowest, window.widest = least, WIDEST * len(live)
 
-    def batch(
-        self, index, group, customer, key, left_us, work_us, memory_mb, data_set, repeat, course=None
+    def batch_received(
+        self, index, group, customer, key, left_us, work_us, memory_mb, data_set, repeat, destination=None
     ) -> None:
         learned = self.learned[group]
         if work_us:
@@ -373,38 +395,40 @@
         batch.data_set, batch.small = data_set, batch.work < SMALL * min(each.usual for each in self.learned)
         self.budget.taken.add(self.now, 1)
         self.asks += ASKS
-        if batch.group.in_order and key is not None:
+        if batch.group.ordered_by_key and key is not None:
             batch.key, line = key, self.keys.lines.setdefault(key, deque())
             line.append(batch)
             batch.last = batch.last if len(line) <= row(batch.group) else self.now
         for due in (min(batch.last, int(batch.goal - 0.5 * batch.solo) + 1), batch.last):
             heapq.heappush(self.later, (due, next(self.counter), batch))
-        if course is None or (pause := course.pause(self.now)) is None:
-            self._follow(batch, course, True)
+        if destination is None or (pause := destination.retry_after_us(self.now)) is None:
+            self._follow(batch, destination, True)
         else:  # over the operator's limit: told at once, since waiting would only hold others up
             self._give_up(batch, pause)
 
-    def moved(self, index, course) -> None:
-        """After an undo what has been sent nowhere goes by the old course; the rest stays as it began."""
+    def batch_rerouted(self, index, destination) -> None:
+        """Apply a changed destination to a batch that was never dispatched; others keep theirs."""
         if (batch := self.batches.get(index)) is not None and not batch.sends and not batch.over:
-            self._follow(batch, course, False)
-
-    def _follow(self, batch: Batch, course: names.Course | None, new: bool) -> None:
-        if batch.course is not None:
-            batch.course.left()
-        batch.course, batch.pool = course, course.pool if course else None
-        if course is not None:
-            course.took(self.now, new)
+            self._follow(batch, destination, False)
+
+    def _follow(self, batch: Batch, destination: names.Destination | None, new: bool) -> None:
+        if batch.destination is not None:
+            batch.destination.batch_closed()
+        batch.destination, batch.pool = destination, destination.pool if destination else None
+        if destination is not None:
+            destination.batch_admitted(self.now, new)
         self._review(batch)
 
-    def answer(self, index, number, engine, outcome, latency, complete, work_us, memory_mb, report) -> None:
+    def dispatch_finished(
+        self, index, number, engine, outcome, latency, complete, work_us, memory_mb, report
+    ) -> None:
         batch, engine = self.batches[index], self.engines[engine]
         dispatch = batch.out.pop(number)
         del engine.out[index, number]
         engine.threads -= batch.group.threads
         self.threads[batch.small] -= batch.group.threads
-        if batch.course is not None:
-            batch.course.back()
+        if batch.destination is not None:
+            batch.destination.dispatch_done()
         self._report(engine, report)
         if outcome == names.RETURNED:
             self._returned(engine, dispatch, latency, work_us)
@@ -417,13 +441,13 @@
         batch.over = batch.over or complete
         (self._forget if batch.over else self._review)(batch)
 
-    def note(self, index, engine, sort, level, number) -> None:
+    def engine_notice(self, index, engine, sort, level, number) -> None:
         self.engines[engine].heard, batch = self.now, self.batches[index]
-        batch.spilt = batch.spilt or sort == names.SPILLS
+        batch.spilt = batch.spilt or sort == names.NOTICE_SPILLING
         if (
             batch.over
             or number not in batch.out
-            or sort != names.PROGRESS
+            or sort != names.NOTICE_PROGRESS
             or not self.may_cancel
             or batch.kills
             or batch.sends >= self.max_dispatches
@@ -437,23 +461,23 @@
             batch.kills += 1
             self.out.cancel(batch.index, number)
 
-    def probed(self, engine, well, latency_us, report) -> None:
+    def probe_finished(self, engine, well, latency_us, report) -> None:
         self._report(self.engines.get(engine), report if well else None)
 
-    def unsure(self, index) -> None:
+    def order_ambiguous(self, index) -> None:
         if index in self.batches:  # sent out of its key's order it could not be taken back; now it still can
             self._give_up(self.batches[index])
 
-    def unproven(self, key) -> None:
+    def execution_unresolved(self, key) -> None:
         self.keys.doubts[key] += 1
 
-    def proven(self, key) -> None:
+    def execution_ended(self, key) -> None:
         self.keys.doubts -= Counter((key,))  # keeps what is above none
         self.keys.resting[key] = self.now + self.keys.rest_us
         if key in self.keys.lines:
             self._review(self.keys.lines[key][0])
 
-    def withdrawn(self, index) -> None:
+    def batch_withdrawn(self, index) -> None:
         if index in self.batches:
             self._close(self.batches[index])
 
@@ -534,7 +558,7 @@
             [max(0.0, engine.load) if engine.load_at > -inf else middle for engine in live],
             [fit(each, pooled) for each in sums],
             [engine.share or 1 / len(live) for engine in live],
-            1 / self.gateways,
+            1 / self.gateway_count,
         )
         for engine, share in zip(live, shares):
             engine.share = share
@@ -577,8 +601,8 @@
     def _forget(self, batch: Batch) -> None:
         if batch.out or self.batches.pop(batch.index, None) is None:
             return
-        if batch.course is not None:
-            batch.course.left()
+        if batch.destination is not None:
+            batch.destination.batch_closed()
         if batch.key is not None and (following := self.keys.leave(batch)):
             self._review(following)
 
@@ -586,7 +610,10 @@
         """The one way out: order, limits on further dispatches, the fleet's window, an engine. Most batches
         are alike: what no engine takes, none takes later in the round, unless it is smaller."""
         group, work, opens = batch.group, max(batch.learned.usual, batch.work), self.keys.open_at(batch)
-        locks, sort = group.holds_set or group.waits_for_set, (batch.course, batch.learned, batch.small)
+        locks, sort = (
+            group.locks_data_set or group.waits_for_data_set,
+            (batch.destination, batch.learned, batch.small),
+        )
         out = self.threads[1] if batch.small else sum(self.threads)
         wanted, free = (out + group.threads) / self.engine_threads, batch.small or not self.debt
         if (
@@ -594,7 +621,10 @@
             or opens > self.now
             or batch.work >= self.refused.get(sort, inf)
             or (batch.sends and not self.budget.allows(self.now))
-            or (batch.course is not None and not batch.course.fits(self.now, batch.sends > 0))
+            or (
+                batch.destination is not None
+                and not batch.destination.allows_dispatch(self.now, batch.sends > 0)
+            )
             or not (self.fleet and self.fleet[batch.small].fits(wanted, free and not out))
         ):
             return None
@@ -645,8 +675,8 @@
         engine.threads += batch.group.threads
         self.threads[batch.small] += batch.group.threads
         self.budget.spent.add(self.now, batch.sends > 0)
-        if batch.course is not None:
-            batch.course.sent(self.now, batch.sends > 0)
+        if batch.destination is not None:
+            batch.destination.dispatch_sent(self.now, batch.sends > 0)
         work = max(batch.learned.usual, batch.work)
         if engine.sent:
             engine.sent.add(self.now, work)
@@ -656,7 +686,7 @@
         engine.warm.append(batch.data_set)
         self._debit(engine, batch.work)
         grant = round(batch.learned.grant * batch.memory_hint) if self.grants else 0
-        self.out.terms(batch.index, self._priority(batch), grant)
+        self.out.set_resources(batch.index, self._priority(batch), grant)
         # Its time-out, the round that hears of it and the answer come one after the other, in time.
         self.out.dispatch(batch.index, engine.index, max(1, batch.deadline - TICK_US - self.now))
 
@@ -671,4 +701,6 @@
     def _priority(self, batch: Batch) -> int:
         """A load frees its data set; small batches take little from others and are late soonest."""
         part = batch.group.utility / batch.work / max(one.group.utility / one.usual for one in self.learned)
-        return 3 if batch.group.holds_set or batch.small else 2 if part > 0.2 else 1 if part > 0.05 else 0
+        return (
+            3 if batch.group.locks_data_set or batch.small else 2 if part > 0.2 else 1 if part > 0.05 else 0
+        )
--- a/pathturn/memory/batches.py
+++ b/pathturn/memory/batches.py
@@ -43,9 +43,9 @@
         "priority",
         "grant_mb",
         "told",
-        "course",
+        "destination",
         "taken_us",
-        "goal_us",
+        "response_goal_us",
         "watch",
     )
 
@@ -71,8 +71,8 @@
         self.grant_mb = 0.0
         self.out: dict[int, Dispatch] = {}
         # Set only with an operator document: routing traits, route, and the callback for the batch's end.
-        self.told = self.course = self.watch = None
-        self.taken_us = self.goal_us = 0
+        self.told = self.destination = self.watch = None
+        self.taken_us = self.response_goal_us = 0
 
     def end(self, end: End) -> None:
         """Set the batch's final outcome; calls after the first have no effect."""
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -31,7 +31,7 @@
 
 
 def _response_goal_us(group: names.ServiceGroup, work_us: int) -> int:
-    return group.goal_us + int(group.goal_stretch * work_us / group.threads)
+    return group.response_goal_us + int(group.goal_runtime_factor * work_us / group.threads)
 
 
 class Facade:
@@ -39,13 +39,13 @@
 
     def __init__(
         self,
-        decider: names.Decider,
+        dispatcher: names.Dispatcher,
         groups: dict[str, names.ServiceGroup],
         clock: Callable[[], int],
         answers_report_cost: bool,
         log: Callable[[str], None],
     ) -> None:
-        self.decider = decider
+        self.dispatcher = dispatcher
         self.groups = groups
         self.clock = clock
         self.group_index = {name: index for index, name in enumerate(groups)}
@@ -79,9 +79,9 @@
         """Return the service group of that name, if there is one."""
         return self.groups.get(name)
 
-    def row_us(self, name: str) -> int:
+    def key_queue_drain_us(self, name: str) -> int:
         """Return how long a batch of an ordered group may have waited for its key before it was written."""
-        return self.decider.row_us(self.groups[name])
+        return self.dispatcher.key_queue_drain_us(self.groups[name])
 
     def is_open(self, ticket: str) -> bool:
         """Return whether a batch with this ticket is open."""
@@ -107,12 +107,12 @@
         batch = self.batches.open(source, ticket, group, nonce, key, statement, until_us)
         if self.router is not None:
             batch.told = self.traits(group, customer, key, data_set, ticket)
-            batch.course = self.router.course(batch.told)
+            batch.destination = self.router.destination(batch.told)
             batch.taken_us = self.clock()
-            batch.goal_us = _response_goal_us(self.groups[group], work_us)
+            batch.response_goal_us = _response_goal_us(self.groups[group], work_us)
             batch.watch = self.watch
         self._add_event(
-            "batch",
+            "batch_received",
             batch.index,
             self.group_index[group],
             customer,
@@ -122,7 +122,7 @@
             memory_mb,
             data_set,
             repeat,
-            batch.course,
+            batch.destination,
         )
         # The event loop handles the sockets that became readable last first. After a stall, batches of one
         # key that arrived on two connections may be read in reverse order, and no arrival times are known.
@@ -131,7 +131,7 @@
             and self.first_source_of_key.setdefault(key, source) is not source
             and self._stalled()
         ):
-            self._add_event("unsure", batch.index)
+            self._add_event("order_ambiguous", batch.index)
         return batch
 
     def pick(self, batch: Batch) -> Dispatch | End:
@@ -169,7 +169,7 @@
     def leave(self, batch: Batch) -> None:
         """Withdraw a batch whose client no longer waits for it."""
         if not batch.over:
-            self._add_event("withdrawn", batch.index)
+            self._add_event("batch_withdrawn", batch.index)
             batch.end(End(None))
             self.batches.remove_if_finished(batch)
 
@@ -189,14 +189,14 @@
         moved = [
             batch
             for batch in self.batches.by_index.values()
-            if batch.course is not None
-            and batch.course.generation == generation
+            if batch.destination is not None
+            and batch.destination.generation == generation
             and not batch.sent
             and not batch.over
         ]
         for batch in moved:
-            batch.course = self.router.course(batch.told)
-            self._add_event("moved", batch.index, batch.course)
+            batch.destination = self.router.destination(batch.told)
+            self._add_event("batch_rerouted", batch.index, batch.destination)
         return len(moved)
 
     # Called for engines.
@@ -210,11 +210,11 @@
             source.catch_up()
         if dispatch.batch.over or dispatch.engine not in self.roster.ready:
             return False
-        return self.decider.may_begin(dispatch.batch.index, self.clock())
+        return self.dispatcher.may_start(dispatch.batch.index, self.clock())
 
     def note(self, dispatch: Dispatch, kind: int, level: float) -> None:
         """Pass on an engine's notice about a running dispatch."""
-        self._add_event("note", dispatch.batch.index, dispatch.engine, kind, level, dispatch.number)
+        self._add_event("engine_notice", dispatch.batch.index, dispatch.engine, kind, level, dispatch.number)
 
     def report(
         self,
@@ -233,7 +233,7 @@
             batch.end(End(names.RETURNED, rows=rows))
         cost_known = outcome == names.RETURNED and self.answers_report_cost
         self._add_event(
-            "answer",
+            "dispatch_finished",
             batch.index,
             dispatch.number,
             dispatch.engine,
@@ -251,8 +251,8 @@
 
         Its key is blocked meanwhile. Returns the function to call once the execution has surely ended.
         """
-        self._add_event("unproven", dispatch.batch.key)
-        return partial(self._add_event, "proven", dispatch.batch.key)
+        self._add_event("execution_unresolved", dispatch.batch.key)
+        return partial(self._add_event, "execution_ended", dispatch.batch.key)
 
     def named(self, dispatch: Dispatch) -> bool:
         """Return whether the dispatch's engine is still listed."""
@@ -261,15 +261,15 @@
     # Called for discovery.
     def listing(self, form: int, entries: list[tuple]) -> None:
         """Replace the list of engines, or record that it could not be had."""
-        rows = [] if form == names.FAILED else self.roster.update(entries)
-        if self.router is not None and form != names.FAILED:
+        rows = [] if form == names.LIST_UNAVAILABLE else self.roster.update(entries)
+        if self.router is not None and form != names.LIST_UNAVAILABLE:
             self.router.update_engines(self.roster.seats)
-        self._add_event("listing", form, rows)
+        self._add_event("engine_list", form, rows)
 
     # Called by the process: start, stop and rounds.
     def stop(self, left_us: int) -> None:
         """Tell the decision module that the process ends after `left_us` at the latest."""
-        self._add_event("stop", left_us)
+        self._add_event("shutdown", left_us)
 
     def beat(self) -> None:
         """Note that the event loop runs; called every few milliseconds. A longer gap is a stall of the whole
@@ -314,16 +314,16 @@
         self.round_started_us = now
         if now >= self.wake_at:
             self.wake_at = inf
-            events.append(("wake", 0))
+            events.append(("timer_fired", 0))
         try:
-            self.decider.round(now, events, self)
+            self.dispatcher.round(now, events, self)
         finally:
             self._end_overdue()
 
     def _end_overdue(self) -> None:
         for batch in self.overdue.after_round():
             self.log_line(f"batch {batch.ticket} overdue")
-            self._add_event("withdrawn", batch.index)
+            self._add_event("batch_withdrawn", batch.index)
             batch.end(End(names.ERRORED))
             self.batches.remove_if_finished(batch)
         if self.overdue:
@@ -331,20 +331,20 @@
 
     def _with_time_left(self, now: int, event: tuple) -> tuple:
         """Update the time left in a new batch's event: it was computed when the batch was read."""
-        if event[0] != "batch" or event[1] not in self.batches.by_index:
+        if event[0] != "batch_received" or event[1] not in self.batches.by_index:
             return event
         return (*event[:5], max(0, self.batches.by_index[event[1]].until_us - now), *event[6:])
 
     # Called by the decision module during a round, as its writer.
-    def dispatch(self, batch: int, engine: int, limit_us: int) -> None:
+    def dispatch(self, batch: int, engine: int, time_limit_us: int) -> None:
         open_batch = self.batches.by_index[batch]
         now = self.clock()
-        dispatch = Dispatch(open_batch, self.roster.place[engine], now, now + limit_us)
+        dispatch = Dispatch(open_batch, self.roster.place[engine], now, now + time_limit_us)
         open_batch.out[open_batch.sent] = dispatch
         open_batch.sent += 1
         open_batch.steps.put(dispatch)
 
-    def terms(self, batch: int, priority: int, grant_mb: float) -> None:
+    def set_resources(self, batch: int, priority: int, grant_mb: float) -> None:
         open_batch = self.batches.by_index[batch]
         open_batch.priority, open_batch.grant_mb = priority, grant_mb
         for dispatch in open_batch.out.values():
@@ -367,7 +367,7 @@
             open_batch.end(end)
             self.batches.remove_if_finished(open_batch)
 
-    def wake(self, delay_us: int, tag: int) -> None:
+    def schedule_wakeup(self, delay_us: int, tag: int) -> None:
         # Counted from the round's start, as the module does. Counted from now it would come later than the
         # module recorded: a round in between would find that time past and ask for another wake-up, which
         # would be lost behind the first one.
--- a/pathturn/memory/roster.py
+++ b/pathturn/memory/roster.py
@@ -2,7 +2,7 @@
 
 from itertools import count
 
-from pathturn.core.interface import READY, Seat
+from pathturn.core.interface import READY, EngineEntry
 
 # Engine index and address. The index tells a new engine from a removed one that had the same address.
 Place = tuple[int, tuple[str, int]]
@@ -24,10 +24,10 @@
         return set(self.place.values())
 
     @property
-    def seats(self) -> list[Seat]:
+    def seats(self) -> list[EngineEntry]:
         """The listed engines in the form that routing uses."""
         return [
-            Seat(self.index_of[identity], identity, zone, machine, cell, state)
+            EngineEntry(self.index_of[identity], identity, zone, machine, cell, state)
             for identity, _, zone, machine, cell, state, *_ in self.entries
         ]
 
--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -59,10 +59,14 @@
         self.clock = unix_clock()
         self.log = Log(config["name"], installation.log if installation else "plain")
         limits = settings.get("limits") or {}
-        decider, groups = build(int(config["seed"], 16), settings)
+        dispatcher, groups = build(int(config["seed"], 16), settings)
         self.step_s = (settings.get("stepUs") or DEFAULT_ROUND_INTERVAL_US) / 1e6
         self.facade = Facade(
-            decider, groups, self.clock, bool((settings.get("domain") or {}).get("costInAnswers")), self.log
+            dispatcher,
+            groups,
+            self.clock,
+            bool((settings.get("domain") or {}).get("costInAnswers")),
+            self.log,
         )
         client_limit, engine_limit = shares(config["limits"]["sockets"])
         self.longest_line = longest_line(config["limits"]["memory_mb"], client_limit)
@@ -83,7 +87,7 @@
         self.asked_to_stop = Event()
         self.parts = Group()
         serial, rows = directory.known(config["known"])
-        self.facade.listing(names.CACHED, rows)
+        self.facade.listing(names.LIST_CACHED, rows)
         self.names = directory.address(config["names"])
         self.lookup = Lookup(
             self.facade,
@@ -185,7 +189,7 @@
             self.operator.stop()
         gevent.sleep(STILL_COMING_S)
         self._close_listener()
-        left_s = min(LONGEST_S, max(group.limit_us for group in self.facade.groups.values()) / 1e6)
+        left_s = min(LONGEST_S, max(group.time_limit_us for group in self.facade.groups.values()) / 1e6)
         self.facade.stop(int(BATCHES_ENDED_SHARE * left_s * 1e6))
         self._wait_while(WRITTEN * left_s, lambda: len(self.facade.batches) or self.sessions.busy())
         self.sessions.part("stopped")
--- a/pathturn/process/settings.py
+++ b/pathturn/process/settings.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from pathturn.core import interface as names
-from pathturn.core.choice import Gateway
+from pathturn.core.choice import GatewayDispatcher
 
 # Service group kind by the setting `effect`.
 KIND_BY_EFFECT = {"retryable": names.REPEATABLE, "dedup": names.REFERENCED, "fragile": names.ONCE_ONLY}
@@ -29,20 +29,20 @@
 
 def _service_group(entry: dict[str, Any], index: int, domain: dict[str, Any]) -> names.ServiceGroup:
     return names.ServiceGroup(
-        goal_us=entry["promiseUs"],
-        goal_stretch=entry.get("aimStretch") or 0.0,
-        limit_us=entry["deadlineUs"],
+        response_goal_us=entry["promiseUs"],
+        goal_runtime_factor=entry.get("aimStretch") or 0.0,
+        time_limit_us=entry["deadlineUs"],
         utility=entry.get("worth", 1.0),
         late_utility=entry.get("lateValue", 0.0),
         kind=KIND_BY_EFFECT[entry["effect"]],
-        repeat_scope=entry.get("group") or "all",
-        repeat_span_us=entry.get("memorySpanUs") or 0,
-        in_order=bool(entry.get("inTurn")),
+        dedup_scope=entry.get("group") or "all",
+        dedup_window_us=entry.get("memorySpanUs") or 0,
+        ordered_by_key=bool(entry.get("inTurn")),
         zones=_optional_set(entry.get("staysIn")),
         machines=_optional_set(entry.get("servedOn")),
         threads=_per_group(domain, "widthByClass", index, 1),
-        holds_set=_per_group(domain, "isLoad", index, False),
-        waits_for_set=_per_group(domain, "yieldsToLoads", index, False),
+        locks_data_set=_per_group(domain, "isLoad", index, False),
+        waits_for_data_set=_per_group(domain, "yieldsToLoads", index, False),
     )
 
 
@@ -52,7 +52,7 @@
     return (rules.get("extraPerRequest") or 0.0) if rules.get("budgetSpanUs") else None
 
 
-def build(seed: int, config: dict[str, Any]) -> tuple[Gateway, dict[str, names.ServiceGroup]]:
+def build(seed: int, config: dict[str, Any]) -> tuple[GatewayDispatcher, dict[str, names.ServiceGroup]]:
     """Build the decision module; return it and the service groups by name, in the order of their indices."""
     domain = config.get("domain") or {}
     limits = config.get("limits") or {}
@@ -66,30 +66,30 @@
     budget = None
     if rules.get("budgetSpanUs"):
         budget = (rules.get("freeResends") or 0, further_share(config), rules["budgetSpanUs"])
-    gateway = Gateway(
+    dispatcher = GatewayDispatcher(
         seed=seed,
         instance=config.get("ordinal", 0),
-        gateways=config.get("siblings", 1),
+        gateway_count=config.get("siblings", 1),
         groups=list(groups.values()),
-        cores=dict(zip(machine_kinds, domain.get("coresByKind") or [])),
-        grants=bool(domain.get("takesGrants")),
-        pages=domain.get("onShortage") == "page",
-        note_us=domain.get("progressUs") or 0,
+        cores_by_machine=dict(zip(machine_kinds, domain.get("coresByKind") or [])),
+        sets_memory_grants=bool(domain.get("takesGrants")),
+        pages_on_shortage=domain.get("onShortage") == "page",
+        notice_interval_us=domain.get("progressUs") or 0,
         report_fields=[LOAD_BY_REPORT_FIELD.get(field, field) for field in report.get("fields") or []],
         probes=report.get("how") == "probe" and bool(limits.get("probing")),
-        ask_list=config.get("discovery") == "ask",
+        subscribes_to_list=config.get("discovery") == "ask",
         max_dispatches=limits.get("maxAttempts") or 1,
         may_cancel=bool(limits.get("cancel")),
-        retry_us=(limits.get("maxRetryAfterUs") or 0) if limits.get("retryAfter") else 0,
-        step_us=config.get("stepUs") or 1000,
-        cold=(
+        max_retry_after_us=(limits.get("maxRetryAfterUs") or 0) if limits.get("retryAfter") else 0,
+        min_round_interval_us=config.get("stepUs") or 1000,
+        slow_start=(
             rules.get("coldFrom", 1.0),
             rules.get("coldUs") or 0,
             rules.get("fallMultiple") or 0.0,
             rules.get("fallUs") or 0,
         ),
-        key_rest_us=rules.get("keyQuietUs") or 0,
-        budget=budget,
-        costs=bool(domain.get("costInAnswers")),
+        key_quiet_us=rules.get("keyQuietUs") or 0,
+        retry_budget=budget,
+        reports_costs=bool(domain.get("costInAnswers")),
     )
-    return gateway, groups
+    return dispatcher, groups
--- a/pathturn/routing/checks.py
+++ b/pathturn/routing/checks.py
@@ -11,7 +11,7 @@
 
 from pathturn.config.document import VERSION, Document, Limit, Pool, Route, Split
 from pathturn.config.read import MOST_FAULTS, Fault, join, nearest, through
-from pathturn.core.interface import GONE, REFERENCED, Seat, ServiceGroup
+from pathturn.core.interface import GONE, REFERENCED, EngineEntry, ServiceGroup
 from pathturn.routing.index import RouteIndex
 from pathturn.routing.pools import EnginePool
 from pathturn.routing.table import match_boxes
@@ -27,7 +27,7 @@
     """What a document is validated against: the gateway's service groups and limits, and its engine list."""
 
     groups: dict[str, ServiceGroup]
-    engines: tuple[Seat, ...] = ()
+    engines: tuple[EngineEntry, ...] = ()
     retry_share: float | None = None  # the most that the settings allow
     max_open_batches: int | None = None
 
@@ -103,7 +103,7 @@
         )
 
 
-def _unmatched_selector(pool: Pool, engines: list[Seat]) -> str:
+def _unmatched_selector(pool: Pool, engines: list[EngineEntry]) -> str:
     """Return a fix that names the one selector that no engine matches, if there is one."""
     for selector, present in (
         ("zones", {engine.zone for engine in engines}),
@@ -280,7 +280,7 @@
                     yield Fault(path, f"pool {pool!r} {what} {name!r}", fix)
 
 
-def _broken_rule(group: ServiceGroup, pool: set[Seat], engines: list[Seat]) -> tuple[str, str]:
+def _broken_rule(group: ServiceGroup, pool: set[EngineEntry], engines: list[EngineEntry]) -> tuple[str, str]:
     """Return what is wrong with a pool as a target of the group, and the fix; both empty if nothing is."""
     allowed = [
         engine
@@ -293,8 +293,8 @@
             "has no engine within the placement of service group",
             "add an engine that the group may use, or narrow the route's match",
         )
-    if group.kind == REFERENCED and group.repeat_scope != "all":
-        scope = "zone" if group.repeat_scope == "zone" else "cell"
+    if group.kind == REFERENCED and group.dedup_scope != "all":
+        scope = "zone" if group.dedup_scope == "zone" else "cell"
         included = {getattr(engine, scope) for engine in pool & set(allowed)}
         if excluded := sorted(
             engine.identity for engine in allowed if getattr(engine, scope) in included and engine not in pool
--- a/pathturn/routing/limits.py
+++ b/pathturn/routing/limits.py
@@ -6,7 +6,7 @@
 """
 
 from pathturn.config.document import Limit
-from pathturn.structures.ring import Ring
+from pathturn.structures.sliding_window import SlidingWindowSum
 
 WINDOW_US = 10_000_000  # over which the share of retries is measured
 WINDOW_BUCKETS = 10
@@ -27,7 +27,7 @@
         self.open_batches = 0
         self.dispatches_in_flight = 0
         self.theoretical_arrival_us = 0.0
-        self.window = Ring(WINDOW_US, WINDOW_BUCKETS, 2)
+        self.window = SlidingWindowSum(WINDOW_US, WINDOW_BUCKETS, 2)
 
 
 class Limiter:
@@ -41,41 +41,41 @@
         self.interval_us = 1e6 / limit.rate if limit.rate else 0.0
         self.burst_tolerance_us = self.interval_us * (max(1, limit.burst) - 1)
 
-    def pause(self, now: int) -> int | None:
+    def retry_after_us(self, now: int) -> int | None:
         """Return None if one more batch is allowed, else the microseconds to wait; 0 if that is unknown."""
         if self.interval_us and self.meter.theoretical_arrival_us - now > self.burst_tolerance_us:
             return max(1, int(self.meter.theoretical_arrival_us - now - self.burst_tolerance_us))
         return 0 if self.limit.open is not None and self.meter.open_batches >= self.limit.open else None
 
-    def took(self, now: int, counts: bool) -> None:
-        """Count an open batch; `counts` is False for one that moves here from another generation."""
+    def batch_admitted(self, now: int, is_new: bool) -> None:
+        """Count an open batch; `is_new` is False for one that moves here from another generation."""
         self.meter.open_batches += 1
-        if counts:
+        if is_new:
             self.meter.window.add(now, 1, 0)
             if self.interval_us:
                 self.meter.theoretical_arrival_us = (
                     max(self.meter.theoretical_arrival_us, now) + self.interval_us
                 )
 
-    def left(self) -> None:
+    def batch_closed(self) -> None:
         """Count the end of an open batch."""
         self.meter.open_batches -= 1
 
-    def fits(self, now: int, further: bool) -> bool:
+    def allows_dispatch(self, now: int, is_retry: bool) -> bool:
         """Return whether one more dispatch is allowed."""
         if self.limit.out is not None and self.meter.dispatches_in_flight >= self.limit.out:
             return False
-        if not further or self.limit.further is None:
+        if not is_retry or self.limit.further is None:
             return True
         batches, retries = self.meter.window.sums(now)
         return retries + 1 <= FREE_RETRIES + self.limit.further * batches
 
-    def sent(self, now: int, further: bool) -> None:
+    def dispatch_sent(self, now: int, is_retry: bool) -> None:
         """Count a dispatch in flight."""
         self.meter.dispatches_in_flight += 1
-        if further:
+        if is_retry:
             self.meter.window.add(now, 0, 1)
 
-    def back(self) -> None:
+    def dispatch_done(self) -> None:
         """Count the outcome of a dispatch."""
         self.meter.dispatches_in_flight -= 1
--- a/pathturn/routing/pools.py
+++ b/pathturn/routing/pools.py
@@ -8,7 +8,7 @@
 from fnmatch import translate
 
 from pathturn.config.document import Pool
-from pathturn.core.interface import READY, Seat
+from pathturn.core.interface import READY, EngineEntry
 
 
 class EnginePool:
@@ -29,7 +29,7 @@
         self.eligible: frozenset[int] = frozenset()
         self._id_pattern = re.compile(translate(spec.ids)) if spec.ids is not None else None
 
-    def matches(self, engine: Seat) -> bool:
+    def matches(self, engine: EngineEntry) -> bool:
         """Return whether the engine matches every selector of the pool."""
         spec = self.spec
         return (
@@ -39,7 +39,7 @@
             and (self._id_pattern is None or self._id_pattern.match(engine.identity) is not None)
         )
 
-    def update_members(self, changed: Iterable[Seat], removed: Iterable[int]) -> None:
+    def update_members(self, changed: Iterable[EngineEntry], removed: Iterable[int]) -> None:
         """Apply a change of the engine list; `update_eligible` must follow once all pools have applied it."""
         self.members.difference_update(removed)
         self.ready.difference_update(removed)
@@ -61,9 +61,9 @@
     """The current engine list; reports what each new list changes."""
 
     def __init__(self) -> None:
-        self.by_index: dict[int, Seat] = {}
+        self.by_index: dict[int, EngineEntry] = {}
 
-    def update(self, engines: Iterable[Seat]) -> tuple[list[Seat], set[int]]:
+    def update(self, engines: Iterable[EngineEntry]) -> tuple[list[EngineEntry], set[int]]:
         """Replace the list; return the new or changed engines and the indices of the removed ones."""
         current = {engine.index: engine for engine in engines}
         changed = [engine for engine in current.values() if self.by_index.get(engine.index) != engine]
--- a/pathturn/routing/router.py
+++ b/pathturn/routing/router.py
@@ -9,10 +9,10 @@
 from typing import NamedTuple
 from weakref import WeakSet, WeakValueDictionary
 
-from pathturn.core.interface import Seat
+from pathturn.core.interface import EngineEntry
 from pathturn.routing.limits import Meter
 from pathturn.routing.pools import EngineList, EnginePool
-from pathturn.routing.table import Course, RoutingTable, hash_fraction
+from pathturn.routing.table import Destination, RoutingTable, hash_fraction
 
 
 class BatchAttributes(NamedTuple):
@@ -54,7 +54,7 @@
         pool.update_members(self.engines.by_index.values(), ())
         self.pools.add(pool)
 
-    def update_engines(self, engines: Iterable[Seat]) -> None:
+    def update_engines(self, engines: Iterable[EngineEntry]) -> None:
         """Apply a new engine list to the pools of all generations in use."""
         changed, removed = self.engines.update(engines)
         if changed or removed:
@@ -79,7 +79,7 @@
         self.candidate_share = share
         self.split_salt = salt
 
-    def course(self, attributes: BatchAttributes) -> Course:
+    def destination(self, attributes: BatchAttributes) -> Destination:
         use_candidate = (
             self.candidate is not None
             and hash_fraction(self.split_salt, attributes.split_key) < self.candidate_share
@@ -87,7 +87,7 @@
         table = self.candidate if use_candidate else self.current
         return table.find_target(
             attributes.group, attributes.customer, attributes.key, attributes.data_set
-        ).course(attributes.split_key)
+        ).destination(attributes.split_key)
 
 
 def routing_differs(old: RoutingTable, new: RoutingTable, attributes: BatchAttributes) -> bool:
--- a/pathturn/routing/table.py
+++ b/pathturn/routing/table.py
@@ -24,7 +24,7 @@
     return int.from_bytes(digest, "big") / HASH_RANGE
 
 
-class Course:
+class Destination:
     """The pool and the limits of one generation that apply to a batch; queried by the decision module."""
 
     __slots__ = ("generation", "route", "pool", "limiters")
@@ -35,67 +35,71 @@
         self.pool = pool
         self.limiters = limiters
 
-    def reaches(self, engine: int) -> bool:
+    def allows_engine(self, engine: int) -> bool:
         return engine in self.pool.eligible
 
-    def pause(self, now: int) -> int | None:
-        pauses = [pause for limiter in self.limiters if (pause := limiter.pause(now)) is not None]
-        return max(pauses, default=None)
+    def retry_after_us(self, now: int) -> int | None:
+        delays = [
+            delay_us for limiter in self.limiters if (delay_us := limiter.retry_after_us(now)) is not None
+        ]
+        return max(delays, default=None)
 
-    def took(self, now: int, counts: bool = True) -> None:
+    def batch_admitted(self, now: int, is_new: bool = True) -> None:
         for limiter in self.limiters:
-            limiter.took(now, counts)
+            limiter.batch_admitted(now, is_new)
 
-    def left(self) -> None:
+    def batch_closed(self) -> None:
         for limiter in self.limiters:
-            limiter.left()
+            limiter.batch_closed()
 
-    def fits(self, now: int, further: bool) -> bool:
-        return all(limiter.fits(now, further) for limiter in self.limiters)
+    def allows_dispatch(self, now: int, is_retry: bool) -> bool:
+        return all(limiter.allows_dispatch(now, is_retry) for limiter in self.limiters)
 
-    def sent(self, now: int, further: bool) -> None:
+    def dispatch_sent(self, now: int, is_retry: bool) -> None:
         for limiter in self.limiters:
-            limiter.sent(now, further)
+            limiter.dispatch_sent(now, is_retry)
 
-    def back(self) -> None:
+    def dispatch_done(self) -> None:
         for limiter in self.limiters:
-            limiter.back()
+            limiter.dispatch_done()
 
 
 class RouteTarget:
-    """What one route leads to: one course per pool, selected by cumulative weights.
+    """What one route leads to: one destination per pool, selected by cumulative weights.
 
     `effect` compares targets regardless of the route's name: two targets of equal effect treat a batch alike.
     For a weighted split it includes the name, which is the salt of the split.
     """
 
-    __slots__ = ("name", "cumulative_weights", "courses", "effect")
+    __slots__ = ("name", "cumulative_weights", "destinations", "effect")
 
-    def __init__(self, name: str, cumulative_weights: tuple[float, ...], courses: tuple[Course, ...]) -> None:
+    def __init__(
+        self, name: str, cumulative_weights: tuple[float, ...], destinations: tuple[Destination, ...]
+    ) -> None:
         self.name = name
         self.cumulative_weights = cumulative_weights
-        self.courses = courses
+        self.destinations = destinations
         self.effect = (
-            name if len(courses) > 1 else None,
+            name if len(destinations) > 1 else None,
             cumulative_weights,
             tuple(
                 (
-                    course.pool.spec,
-                    course.pool.fallback and course.pool.fallback.spec,
-                    tuple(limiter.limit for limiter in course.limiters),
+                    destination.pool.spec,
+                    destination.pool.fallback and destination.pool.fallback.spec,
+                    tuple(limiter.limit for limiter in destination.limiters),
                 )
-                for course in courses
+                for destination in destinations
             ),
         )
 
-    def course(self, split_key: str) -> Course:
-        """Select a course by weight; the same split key always gives the same one."""
-        if len(self.courses) == 1:
-            return self.courses[0]
-        return self.courses[
+    def destination(self, split_key: str) -> Destination:
+        """Select a destination by weight; the same split key always gives the same one."""
+        if len(self.destinations) == 1:
+            return self.destinations[0]
+        return self.destinations[
             min(
                 bisect_right(self.cumulative_weights, hash_fraction(self.name, split_key)),
-                len(self.courses) - 1,
+                len(self.destinations) - 1,
             )
         ]
 
@@ -165,8 +169,8 @@
         self, name: str, to: str | Split, limiters: dict[tuple[str, str], list[Limiter]]
     ) -> RouteTarget:
         weights = {to: 1.0} if isinstance(to, str) else to
-        courses = [
-            Course(
+        destinations = [
+            Destination(
                 self.generation,
                 name,
                 self.pools[pool],
@@ -174,7 +178,7 @@
             )
             for pool in weights
         ]
-        return RouteTarget(name, tuple(accumulate(weights.values())), tuple(courses))
+        return RouteTarget(name, tuple(accumulate(weights.values())), tuple(destinations))
 
     def find_target(self, group: str, customer: str | None, key: str | None, data_set: int) -> RouteTarget:
         """Return the target of the first matching route, or the default."""
--- a/pathturn/structures/ring.py
+++ b/pathturn/structures/sliding_window.py
@@ -1,7 +1,7 @@
 """Sums over a moving span of time in a bounded number of buckets: no clock, no choice, no tuned value."""
 
 
-class Ring:
+class SlidingWindowSum:
     """Sums over fixed buckets of time: all of them cover the span, all but the oldest lie within it."""
 
     def __init__(self, span_us: int, buckets: int, fields: int = 1) -> None:
--- a/pathturn/wire/clients.py
+++ b/pathturn/wire/clients.py
@@ -281,8 +281,8 @@
             # Engines know a query by its ticket alone: the two would be answered with each other's rows.
             self.fault(number, jsonrpc.INVALID)
             return
-        if key is not None and self.facade.group(group).in_order:
-            left_us = min(left_us, max(LEAST_US, left_us - self.facade.row_us(group)))
+        if key is not None and self.facade.group(group).ordered_by_key:
+            left_us = min(left_us, max(LEAST_US, left_us - self.facade.key_queue_drain_us(group)))
         batch = self.facade.take(
             self,
             ticket,
--- a/pathturn/wire/jsonrpc.py
+++ b/pathturn/wire/jsonrpc.py
@@ -85,13 +85,13 @@
 def _fields(params: dict[str, Any], group: names.ServiceGroup) -> tuple:
     """All of them or none: whatever goes on to an engine must be as the client wrote it."""
     left_us = int(_figure(params["patience"]) * 1000)
-    if not 0 < left_us <= group.limit_us:
+    if not 0 < left_us <= group.time_limit_us:
         raise ValueError("patience")
     if not TICKET.fullmatch(params["trace"]):
         raise ValueError("trace")
     work_us, memory_mb = int(_figure(params.get("weight", 0)) * 1000), int(_figure(params.get("est_mb", 0)))
     nonce = _token(params, "nonce", group.kind == names.REFERENCED)
-    key, customer = _token(params, "entity", group.in_order), _token(params, "customer", False)
+    key, customer = _token(params, "entity", group.ordered_by_key), _token(params, "customer", False)
     statement = b64decode(params["data"], validate=True)
     if not statement.decode().strip():
         raise ValueError("data")
--- a/pathturn/wire/lookup.py
+++ b/pathturn/wire/lookup.py
@@ -48,7 +48,7 @@
             question = self.asked.spawn(self._ask, address)
             if self.asks and not question.get():
                 self.facade.follows_list.clear()
-                self.facade.listing(names.FAILED, [])
+                self.facade.listing(names.LIST_UNAVAILABLE, [])
             gevent.sleep(EVERY_S)
 
     def _ask(self, address: tuple[str, int]) -> bool:
@@ -83,6 +83,6 @@
             self.raw = packet[2:]
         if rows is not None:
             self.last = serial
-            self.facade.listing(names.WHOLE, rows)
+            self.facade.listing(names.LIST_SNAPSHOT, rows)
             self.changed()
         return True
--- a/pathturn/wire/warehouse.py
+++ b/pathturn/wire/warehouse.py
@@ -9,7 +9,7 @@
 from pathturn.core import interface as names
 from pathturn.wire.http import LARGEST_BODY, Unreadable, call
 
-NOTES = {"done": names.PROGRESS, "spills": names.SPILLS, "waits": names.WAITS}
+NOTES = {"done": names.NOTICE_PROGRESS, "spills": names.NOTICE_SPILLING, "waits": names.NOTICE_WAITING}
 # What a meter may call a load value that the settings name otherwise.
 METERS = {
     "concurrent": "inflight",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,13 +18,13 @@
 from pathturn.config.document import Limit, Pool
 from pathturn.config.units import Rate
 from pathturn.core import interface as names
-from pathturn.core.choice import Gateway
+from pathturn.core.choice import GatewayDispatcher
 from pathturn.process.gateway import GatewayProcess
 from pathturn.process.limits import shares
 from pathturn.process.settings import build
 from pathturn.routing.limits import Limiter, Meter
 from pathturn.routing.pools import EnginePool
-from pathturn.routing.table import Course
+from pathturn.routing.table import Destination
 from pathturn.standins.farm import Farm, spare_address
 
 pytest_plugins = ["known_red"]
@@ -42,28 +42,28 @@
         self.settings = {
             "seed": 7,
             "instance": 0,
-            "gateways": 1,
-            "cores": {"m": 8, "n": 8},
-            "grants": False,
-            "pages": False,
-            "note_us": 0,
+            "gateway_count": 1,
+            "cores_by_machine": {"m": 8, "n": 8},
+            "sets_memory_grants": False,
+            "pages_on_shortage": False,
+            "notice_interval_us": 0,
             "report_fields": [],
             "probes": False,
-            "ask_list": False,
+            "subscribes_to_list": False,
             "max_dispatches": 4,
             "may_cancel": True,
-            "retry_us": 0,
-            "step_us": 1000,
-            "cold": (1.0, 0, 0.0, 0),
-            "key_rest_us": 0,
-            "budget": None,
-            "costs": False,
+            "max_retry_after_us": 0,
+            "min_round_interval_us": 1000,
+            "slow_start": (1.0, 0, 0.0, 0),
+            "key_quiet_us": 0,
+            "retry_budget": None,
+            "reports_costs": False,
         }
-        self.gateway, self.now = None, 0
+        self.dispatcher, self.now = None, 0
         self.flying, self.sent, self.groups, self.batches, self.calls = {}, {}, [], [], []
-        self.courses = {}
+        self.destinations = {}
 
-    def dispatch(self, batch, engine, limit_us):
+    def dispatch(self, batch, engine, time_limit_us):
         number = self.sent[batch] = self.sent.get(batch, -1) + 1
         self.flying[batch, number] = engine
         self.calls.append(("dispatch", batch, engine))
@@ -80,23 +80,23 @@
     def probe(self, engine):
         self.calls.append(("probe", engine, 0))
 
-    def wake(self, delay_us, tag):
+    def schedule_wakeup(self, delay_us, tag):
         self.woken = self.now + delay_us
 
     def subscribe(self, on):
         self.calls.append(("subscribe", on, 0))
 
-    def terms(self, batch, priority, grant_mb):
-        self.calls.append(("terms", batch, priority))
+    def set_resources(self, batch, priority, grant_mb):
+        self.calls.append(("set_resources", batch, priority))
 
     def log(self, text):
         pass
 
     def round(self, *events):
-        if self.gateway is None:
+        if self.dispatcher is None:
             self.settings["groups"] = self.groups
-            self.gateway = Gateway(**self.settings)
-        self.gateway.round(self.now, [*events, ("wake", 0)], self)
+            self.dispatcher = GatewayDispatcher(**self.settings)
+        self.dispatcher.round(self.now, [*events, ("timer_fired", 0)], self)
 
     def number(self, name):
         return self.batches.index(name)
@@ -121,24 +121,29 @@
             key: frozenset(value.split(","))
             if key in ("zones", "machines")
             else value
-            if key == "repeat_scope"
+            if key == "dedup_scope"
             else float(value)
             if "util" in key
             else int(value)
             for key, value in told.items()
         }
-        base = {"goal_us": SECOND, "goal_stretch": 2.0, "limit_us": 10 * SECOND, "utility": 1.0}
+        base = {
+            "response_goal_us": SECOND,
+            "goal_runtime_factor": 2.0,
+            "time_limit_us": 10 * SECOND,
+            "utility": 1.0,
+        }
         self.groups.append(names.ServiceGroup(**{**base, "late_utility": 1.0, "kind": KINDS[kind], **told}))
 
     def engine(self, index, zone="a", machine="m", state="0", cell="0", started="0"):
         row = (int(index), zone, machine, int(cell), int(state), 1, int(started))
-        self.round(("listing", names.CHANGES, [row]))
+        self.round(("engine_list", names.LIST_DELTA, [row]))
 
     def list_only(self, *indices):
         rows = [(int(index), "a", "m", 0, 0, 1, 0) for index in indices]
-        self.round(("listing", names.WHOLE, rows))
+        self.round(("engine_list", names.LIST_SNAPSHOT, rows))
 
-    def course(self, name, *engines, **limits):
+    def destination(self, name, *engines, **limits):
         pool = EnginePool(name, Pool())
         pool.eligible = frozenset(map(int, engines))
         told = {
@@ -150,14 +155,14 @@
             for key, value in limits.items()
         }
         limiters = (Limiter(Limit(name, route=name, **told), Meter()),) if told else ()
-        self.courses[name] = Course(1, name, pool, limiters)
+        self.destinations[name] = Destination(1, name, pool, limiters)
 
-    def batch(self, name, group="0", key="-", left="10000", work="100", data_set="0", course=None):
+    def batch(self, name, group="0", key="-", left="10000", work="100", data_set="0", destination=None):
         self.batches.append(name)
         key = None if key == "-" else key
         self.round(
             (
-                "batch",
+                "batch_received",
                 self.number(name),
                 int(group),
                 None,
@@ -167,25 +172,27 @@
                 0,
                 int(data_set),
                 False,
-                self.courses.get(course),
+                self.destinations.get(destination),
             )
         )
 
-    def moved(self, name, course):
-        self.round(("moved", self.number(name), self.courses[course]))
+    def moved(self, name, destination):
+        self.round(("batch_rerouted", self.number(name), self.destinations[destination]))
 
     def answer(self, name, outcome, latency="100"):
         batch, number, engine = self.dispatched(name)
         del self.flying[batch, number]
         done = outcome == names.RETURNED
-        self.round(("answer", batch, number, engine, outcome, int(latency) * 1000, done, 0, 0, None))
+        self.round(
+            ("dispatch_finished", batch, number, engine, outcome, int(latency) * 1000, done, 0, 0, None)
+        )
 
     def note(self, name, sort, level):
         batch, number, engine = self.dispatched(name)
-        self.round(("note", batch, engine, int(sort), float(level), number))
+        self.round(("engine_notice", batch, engine, int(sort), float(level), number))
 
     def leave(self, name):
-        self.round(("withdrawn", self.number(name)))
+        self.round(("batch_withdrawn", self.number(name)))
 
     def wait(self, milliseconds):
         for _ in range(int(milliseconds) // 25):
@@ -212,14 +219,14 @@
         told = [call[2] for call in self.calls if call[:2] == ("push_back", self.number(name))]
         assert int(least) * 1000 <= told[-1] <= int(most) * 1000, f"{name} may come back after {told}"
 
-    def counts(self, course, open, out):
-        meter = self.courses[course].limiters[0].meter
+    def counts(self, destination, open, out):
+        meter = self.destinations[destination].limiters[0].meter
         assert (meter.open_batches, meter.dispatches_in_flight) == (int(open), int(out)), (
             f"open {meter.open_batches}, out {meter.dispatches_in_flight}"
         )
 
     def priority(self, name, level):
-        told = [call[2] for call in self.calls if call[:2] == ("terms", self.number(name))]
+        told = [call[2] for call in self.calls if call[:2] == ("set_resources", self.number(name))]
         assert told[-1:] == [int(level)], f"{name} went out at {told}"
 
     def wakes(self, within):
@@ -310,15 +317,15 @@
         }
         if group in ("load", "book", "sum"):
             # As a client's last of a row says it: so much of its patience went by before it was written.
-            row_ms = self.gateway_row_us(group) // 1000
+            row_ms = self.gateway_key_queue_drain_us(group) // 1000
             params |= {"entity": key or f"k{number}", "patience": int(patience) + row_ms}
         if group == "load":
             params |= {"nonce": nonce or f"n{number}"}
         self.say(id=int(number), method=group, params=params)
 
-    def gateway_row_us(self, group):
-        decider, groups = build(1, self.settings)
-        return decider.row_us(groups[group])
+    def gateway_key_queue_drain_us(self, group):
+        dispatcher, groups = build(1, self.settings)
+        return dispatcher.key_queue_drain_us(groups[group])
 
     def calls(self, first, last, group):
         for number in range(int(first), int(last) + 1):
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -173,8 +173,8 @@
     monkeypatch.setattr(rig.gateway.pools, "dial", lambda *told: dialled.append(told) or 1 // 0)
     decide = facade.dispatch
 
-    def leave_at_once(batch, engine, limit_us):
-        decide(batch, engine, limit_us)
+    def leave_at_once(batch, engine, time_limit_us):
+        decide(batch, engine, time_limit_us)
         decided.append(batch)
         facade.leave(facade.batches.by_index[batch])
 
--- a/tests/test_corners.py
+++ b/tests/test_corners.py
@@ -18,25 +18,25 @@
     def __init__(self, gateways: int, **rules) -> None:
         settings = farm.settings() | {"siblings": gateways, "ordinal": gateways - 1}
         settings["rules"] |= rules
-        self.gateway, self.groups = build(7, settings)
+        self.dispatcher, self.groups = build(7, settings)
         self.now, self.woken, self.numbers = 1_796_160_477 * SECOND, inf, iter(range(99))
         self.sent, self.ends, self.limits = [], [], []
 
     def round(self, *events) -> None:
-        self.gateway.round(self.now, list(events), self)
+        self.dispatcher.round(self.now, list(events), self)
 
     def run(self, seconds: float) -> None:
         end = self.now + int(seconds * SECOND)
         while self.woken <= end:
             self.now, self.woken = max(self.now, self.woken), inf
-            self.round(("wake", 0))
+            self.round(("timer_fired", 0))
         self.now = end
 
     def listing(self, engines: range, zones: int, started: int = 0) -> None:
         self.round(
             (
-                "listing",
-                names.WHOLE,
+                "engine_list",
+                names.LIST_SNAPSHOT,
                 [
                     (each, f"z{each % zones}" if zones else "", "m", each // 4, names.READY, 1, started)
                     for each in engines
@@ -46,20 +46,22 @@
 
     def batch(self, group: int, left_us: int = SECOND) -> int:
         number = next(self.numbers)
-        key = f"k{number}" if list(self.groups.values())[group].in_order else None
-        self.round(("batch", number, group, None, key, left_us, 100_000, 1, 3, False, None))
+        key = f"k{number}" if list(self.groups.values())[group].ordered_by_key else None
+        self.round(("batch_received", number, group, None, key, left_us, 100_000, 1, 3, False, None))
         return number
 
     def returned(self) -> None:
         for batch, engine in self.sent:
-            self.round(("answer", batch, 0, engine, names.RETURNED, 90_000, True, 100_000, 1, [0, 1]))
+            self.round(
+                ("dispatch_finished", batch, 0, engine, names.RETURNED, 90_000, True, 100_000, 1, [0, 1])
+            )
         self.sent = []
 
     # The writer's side.
-    def dispatch(self, batch, engine, limit_us):
-        assert 0 < limit_us <= SECOND
+    def dispatch(self, batch, engine, time_limit_us):
+        assert 0 < time_limit_us <= SECOND
         self.sent.append((batch, engine))
-        self.limits.append(limit_us)
+        self.limits.append(time_limit_us)
 
     def push_back(self, batch, retry_us):
         assert 0 < retry_us <= 500_000
@@ -68,7 +70,7 @@
     def error(self, batch):
         self.ends.append((batch, "errored"))
 
-    def wake(self, delay_us, tag):
+    def schedule_wakeup(self, delay_us, tag):
         assert delay_us > 0
         self.woken = min(self.woken, self.now + delay_us)
 
@@ -88,9 +90,9 @@
         assert [batch for batch, _ in clock.sent] == [number]
         clock.returned()
         clock.run(2)
-    for window in clock.gateway.fleet:
+    for window in clock.dispatcher.fleet:
         assert 0 < window.narrowest <= min(window.width, window.widest) and isfinite(window.width)
-    shares = [engine.share for engine in clock.gateway.engines.values()]
+    shares = [engine.share for engine in clock.dispatcher.engines.values()]
     assert min(shares) >= 0 and (sum(shares) == pytest.approx(1) or not any(shares))
 
 
@@ -122,7 +124,7 @@
     clock.run(0.1)
     assert clock.sent == [(held, 5000)]
     clock.returned()
-    assert set(clock.gateway.engines) == {5000} and not clock.gateway.batches
+    assert set(clock.dispatcher.engines) == {5000} and not clock.dispatcher.batches
 
 
 @pytest.mark.parametrize(("gateways", "engines"), [(1, 1), (1, 1024), (230, 36), (1024, 1), (1024, 1024)])
@@ -144,10 +146,12 @@
 @pytest.mark.parametrize("told", [{"siblings": 0}, {"siblings": None}, {"kinds": []}, {"kinds": ["other"]}])
 def test_no_fleet_size_counts_as_one_gateway_and_an_unknown_machine_has_its_weight_in_cores(told) -> None:
     settings = farm.settings() | told
-    gateway, _ = build(7, {name: value for name, value in settings.items() if value is not None})
-    gateway.round(SECOND, [("listing", names.WHOLE, [(0, "z", "m", 0, names.READY, 6, 0)])], Clock(1))
-    assert gateway.gateways == 1
-    assert gateway.engines[0].cores == (6 if "kinds" in told else 8)
+    dispatcher, _ = build(7, {name: value for name, value in settings.items() if value is not None})
+    dispatcher.round(
+        SECOND, [("engine_list", names.LIST_SNAPSHOT, [(0, "z", "m", 0, names.READY, 6, 0)])], Clock(1)
+    )
+    assert dispatcher.gateway_count == 1
+    assert dispatcher.engines[0].cores == (6 if "kinds" in told else 8)
 
 
 def test_an_id_told_twice_counts_as_it_was_told_last() -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -126,10 +126,10 @@
         site.crowd.callers[1].send("look", 1400, data_set=3, customer=f"f{number}")
     gevent.sleep(0.5)
     held = [batch for batch in site.gateway.facade.batches.by_index.values() if not batch.sent]
-    assert len(held) == 9 and {batch.course.generation for batch in held} == {2}
+    assert len(held) == 9 and {batch.destination.generation for batch in held} == {2}
     undone = site.conductor.undo("c", "me", "enough")
     assert undone.state == "undone" and "enough" in undone.reason
-    assert {batch.course.generation for batch in held} == {1}
+    assert {batch.destination.generation for batch in held} == {1}
     begun = monotonic()
     while site.crowd.callers[1].ends["look"]["returned"] < 6 and monotonic() - begun < 2:
         gevent.sleep(0.01)
@@ -150,7 +150,7 @@
     site.over()
     assert site.conductor.history(1)[0].state == "kept" and site.conductor.router.current.generation == 2
     gevent.sleep(0.5)
-    limiter = site.conductor.router.current.targets[0].courses[0].limiters[0]
+    limiter = site.conductor.router.current.targets[0].destinations[0].limiters[0]
     assert limiter.meter.dispatches_in_flight <= 2
     traffic.kill()
     site.settled()
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from pathturn.core import interface as names
-from pathturn.core.choice import ROW
+from pathturn.core.choice import MAX_KEY_QUEUE
 
 REST_US, KEYS, KINDS = 300_000, ("k", "l"), ("referenced", "once", "repeatable")
 ENDS = (
@@ -37,14 +37,14 @@
     def __init__(self) -> None:
         super().__init__()
         self.pending = []
-        self.settings |= {"key_rest_us": REST_US, "may_cancel": True, "note_us": 500_000}
+        self.settings |= {"key_quiet_us": REST_US, "may_cancel": True, "notice_interval_us": 500_000}
         self.keys, self.over, self.rests, self.doubts = [], set(), {}, []
         for kind in KINDS:
-            self.group(kind, in_order=1, repeat_span_us=9_000_000)
+            self.group(kind, ordered_by_key=1, dedup_window_us=9_000_000)
         for index in range(4):
             self.engine(index)
 
-    def dispatch(self, batch, engine, limit_us):
+    def dispatch(self, batch, engine, time_limit_us):
         key = self.keys[batch]
         earlier = [each for each in range(batch) if self.keys[each] == key]
         assert batch not in self.over, "sent after its end"
@@ -53,7 +53,7 @@
         if self.sent.get(batch) is None:
             assert self.now >= self.rests.get(key, 0), "within the rest"
             assert key not in self.doubts, "before the proof"
-        super().dispatch(batch, engine, limit_us)
+        super().dispatch(batch, engine, time_limit_us)
 
     def push_back(self, batch, retry_us):
         self.over.add(batch)
@@ -75,32 +75,32 @@
         done = batch in self.over or outcome == names.RETURNED
         if outcome == names.RETURNED:
             self.over.add(batch)
-        self.round(("answer", batch, number, engine, outcome, 50_000, done, 0, 0, None))
+        self.round(("dispatch_finished", batch, number, engine, outcome, 50_000, done, 0, 0, None))
 
     def doubt(self, which, outcome):
         """As a front tells of an outcome whose query may go on: before it."""
         if self.flying:
             key = self.keys[sorted(self.flying)[which % len(self.flying)][0]]
             self.doubts.append(key)
-            self.pending = [("unproven", key)]
+            self.pending = [("execution_unresolved", key)]
             self.end(which, outcome)
 
     def prove(self, which):
         if self.doubts:
             key = self.doubts.pop(which % len(self.doubts))
             self.rests[key] = self.now + REST_US
-            self.round(("proven", key))
+            self.round(("execution_ended", key))
 
     def round(self, *events):
         pending, self.pending = self.pending, []
         super().round(*pending, *events)
 
     def leave(self, which):
-        self._without_answer("withdrawn", which)
+        self._without_answer("batch_withdrawn", which)
 
     def unsure(self, which):
         if self.keys and not self.sent.get(which % len(self.keys), -1) >= 0:
-            self.round(("unsure", which % len(self.keys)))
+            self.round(("order_ambiguous", which % len(self.keys)))
 
     def _without_answer(self, event, which):
         if self.keys:
@@ -116,7 +116,7 @@
             self.round()
 
     def stop(self):
-        self.round(("stop", 1_000_000))
+        self.round(("shutdown", 1_000_000))
 
 
 @settings(max_examples=300)
@@ -135,7 +135,9 @@
         while judge.flying:
             judge.end(0, names.RETURNED)
     assert judge.over == set(range(len(judge.keys)))
-    assert not judge.gateway.keys.lines and not judge.gateway.keys.doubts and not judge.gateway.batches
+    assert (
+        not judge.dispatcher.keys.lines and not judge.dispatcher.keys.doubts and not judge.dispatcher.batches
+    )
 
 
 def test_a_key_in_doubt_stays_shut_and_then_rests_while_its_batch_goes_on() -> None:
@@ -157,8 +159,8 @@
 def test_no_more_of_a_key_are_held_than_can_be_written_again_in_time() -> None:
     """A gateway that ends has its clients write all it held of a key 60 ms apart, behind one another."""
     judge = Judge()
-    for _ in range(ROW + 2):
+    for _ in range(MAX_KEY_QUEUE + 2):
         judge.take(0, "k", 9000)
-    assert judge.over == {ROW, ROW + 1}
+    assert judge.over == {MAX_KEY_QUEUE, MAX_KEY_QUEUE + 1}
     judge.take(0, "other", 9000)
     assert len(judge.flying) == 2
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -8,11 +8,11 @@
 from pathturn.adapter.codec import Codec, serve
 from pathturn.core import interface as names
 from pathturn.core.choice import Batch, Engine, Learned, fit, solve
-from pathturn.structures.ring import Ring
+from pathturn.structures.sliding_window import SlidingWindowSum
 
 
 def test_ring_reuses_its_buckets_and_brackets_the_span() -> None:
-    ring = Ring(1000, 10)
+    ring = SlidingWindowSum(1000, 10)
     for now in range(0, 5000, 50):
         ring.add(now, 1)
     assert ring.sums(4950)[0] >= 20 >= ring.sums(4950, within=True)[0] > 0
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -82,7 +82,7 @@
 
 def test_a_request_whose_decision_is_lost_is_answered_within_the_protocol_s_slack(rig, monkeypatch) -> None:
     rig.start()
-    monkeypatch.setattr(rig.gateway.facade.decider, "round", lambda now, events, writer: None)
+    monkeypatch.setattr(rig.gateway.facade.dispatcher, "round", lambda now, events, writer: None)
     began = time.monotonic()
     rig.call(1, "look", patience=500)
     rig.errored(1)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -11,7 +11,7 @@
 from pathturn.background.scheduler import JobCancelled, Scheduler
 from pathturn.config.document import Document, Pool, Route
 from pathturn.config.read import Unusable, canonical, parse, parsing, read, reading, through
-from pathturn.core.interface import DRAINING, REFERENCED, REPEATABLE, Seat, ServiceGroup
+from pathturn.core.interface import DRAINING, REFERENCED, REPEATABLE, EngineEntry, ServiceGroup
 from pathturn.routing.checks import ValidationContext, validate
 from pathturn.routing.index import MatchBox, RouteIndex
 from pathturn.routing.limits import Limiter, Meter
@@ -19,11 +19,11 @@
 from pathturn.routing.table import RoutingTable
 
 GROUPS = ("look", "load")
-ENGINES = tuple(Seat(index, f"n{index}", "ab"[index % 2], "m", index // 2, 0) for index in range(6))
+ENGINES = tuple(EngineEntry(index, f"n{index}", "ab"[index % 2], "m", index // 2, 0) for index in range(6))
 CONTEXT = ValidationContext(
     {
         "look": ServiceGroup(1, 1, 1, 1, 1, REPEATABLE),
-        "load": ServiceGroup(1, 1, 1, 1, 1, REFERENCED, repeat_scope="zone"),
+        "load": ServiceGroup(1, 1, 1, 1, 1, REFERENCED, dedup_scope="zone"),
         "bound": ServiceGroup(1, 1, 1, 1, 1, REPEATABLE, zones=frozenset("b")),
     },
     ENGINES,
@@ -237,18 +237,18 @@
     router.update_engines(ENGINES)
     pools = {"all": {}, "a": {"zones": ["a"], "fallback": {"pool": "all", "ready_under": 2}}}
     router.activate(compiled(router, 1, pools=pools, routes=[{"name": "r", "to": "a"}]))
-    course = router.course(batch_attributes("look", None, None, 0, "t"))
-    assert course.pool.eligible == {0, 2, 4}
+    destination = router.destination(batch_attributes("look", None, None, 0, "t"))
+    assert destination.pool.eligible == {0, 2, 4}
     router.activate(compiled(router, 2))
     draining = [engine._replace(state=DRAINING) if engine.index in (0, 2) else engine for engine in ENGINES]
     router.update_engines(draining)
-    assert course.pool.eligible == {0, 1, 2, 3, 4, 5}, (
+    assert destination.pool.eligible == {0, 1, 2, 3, 4, 5}, (
         "fewer than two members are ready: the fallback's engines are eligible too"
     )
     router.update_engines(ENGINES[1:2])
-    assert course.pool.eligible == {1} and not course.pool.members
+    assert destination.pool.eligible == {1} and not destination.pool.members
     router.update_engines(())
-    assert not course.pool.eligible
+    assert not destination.pool.eligible
 
 
 def test_a_canary_never_splits_a_key_and_a_larger_share_keeps_the_keys_of_a_smaller_one() -> None:
@@ -261,13 +261,13 @@
         keys = {
             key
             for key in map(str, range(2_000))
-            if router.course(batch_attributes("look", "f", key, 1, "t")).generation == 2
+            if router.destination(batch_attributes("look", "f", key, 1, "t")).generation == 2
         }
         assert abs(len(keys) / 2_000 - share) < 0.03 and keys >= previous
         previous = keys
         for key in ("5", "17"):
             generations = {
-                router.course(batch_attributes(group, customer, key, at, str(at))).generation
+                router.destination(batch_attributes(group, customer, key, at, str(at))).generation
                 for group in GROUPS
                 for customer in (None, "f")
                 for at in range(9)
@@ -297,11 +297,11 @@
     router.activate(compiled(router, 1, limits=limits))
     attributes = batch_attributes("look", None, None, 0, "t")
     for _ in range(2):
-        assert router.course(attributes).pause(0) is None
-        router.course(attributes).took(0)
-    assert router.course(attributes).pause(0) == 1_000_000
+        assert router.destination(attributes).retry_after_us(0) is None
+        router.destination(attributes).batch_admitted(0)
+    assert router.destination(attributes).retry_after_us(0) == 1_000_000
     router.activate(compiled(router, 2, limits=limits))
-    assert router.course(attributes).pause(0) == 1_000_000
+    assert router.destination(attributes).retry_after_us(0) == 1_000_000
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -311,11 +311,11 @@
     limiter, now, admitted = Limiter(limit, Meter()), 0, []
     for gap in gaps:
         now += gap
-        if limiter.pause(now) is None:
-            limiter.took(now, True)
+        if limiter.retry_after_us(now) is None:
+            limiter.batch_admitted(now, True)
             admitted.append(now)
         else:
-            assert limiter.pause(now + limiter.pause(now)) is None, (
+            assert limiter.retry_after_us(now + limiter.retry_after_us(now)) is None, (
                 "a batch that waits for the reported time is admitted"
             )
     for position, first in enumerate(admitted):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -69,7 +69,12 @@
     assert not answers.feed(memoryview(first[:30]))
     assert answers.feed(memoryview(first[30:]))
     status, fields, body = answers.take()
-    assert (status, body, warehouse.note(fields), answers.keeps) == (202, b"", (names.WAITS, 2.0), True)
+    assert (status, body, warehouse.note(fields), answers.keeps) == (
+        202,
+        b"",
+        (names.NOTICE_WAITING, 2.0),
+        True,
+    )
     last = (
         b"HTTP/1.1 200 OK\r\nConnection: close\r\nX-Meter: queue:1.5;inflight:7\r\n"
         b"Content-Length: 2\r\n\r\na\n"
@@ -124,7 +129,7 @@
     rig.call(1, "pay")
     rig.returned(1)
     rig.idle()
-    assert bool(rig.gateway.facade.decider.engines[0].cold_until) is cold
+    assert bool(rig.gateway.facade.dispatcher.engines[0].cold_until) is cold
 
 
 def test_an_answer_said_to_be_huge_takes_no_memory() -> None:
@@ -391,7 +396,7 @@
     rig.start()
     gevent.sleep(0.05)
     with monkeypatch.context() as patch:
-        patch.setattr(rig.gateway.facade.decider, "round", lambda *_: 1 // 0)
+        patch.setattr(rig.gateway.facade.dispatcher, "round", lambda *_: 1 // 0)
         rig.call(1, "look", patience="300")
         gevent.sleep(0.05)
     rig.call(2, "look")
@@ -579,10 +584,10 @@
         rig.call(number, "load", key="k")
         rig.returned(number)
     gevent.sleep(0.4)
-    decider, facade, pools = rig.gateway.facade.decider, rig.gateway.facade, rig.gateway.pools
-    assert len(decider.engines) == len(facade.roster.place) == len(facade.roster.index_of) == 1
-    assert [place[0] for place in pools.idle] == list(decider.engines) == [5]
-    assert not decider.keys.lines and not facade.batches.tickets and len(rig.engines["e0"].posts()) == 5
+    dispatcher, facade, pools = rig.gateway.facade.dispatcher, rig.gateway.facade, rig.gateway.pools
+    assert len(dispatcher.engines) == len(facade.roster.place) == len(facade.roster.index_of) == 1
+    assert [place[0] for place in pools.idle] == list(dispatcher.engines) == [5]
+    assert not dispatcher.keys.lines and not facade.batches.tickets and len(rig.engines["e0"].posts()) == 5
 
 
 def test_a_reloaded_process_follows_the_directory_it_is_told_of_and_keeps_what_is_open(rig, tmp_path) -> None:
