--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -201,11 +201,11 @@
             call()
         return (process_time() - began) * 1e6 / times
 
-    full = us(lambda: directory.answer(packet, 1, 8), 5)
-    same = us(lambda: directory.answer(packet, 1, 9), 20)
+    full = us(lambda: directory.parse_response(packet, 1, 8), 5)
+    same = us(lambda: directory.parse_response(packet, 1, 9), 20)
     raw = packet[2:]
     unchanged = us(lambda: packet[2:] == raw, 1000)  # what `Lookup` does first
-    _, rows = directory.answer(packet, 1, 8)
+    _, rows = directory.parse_response(packet, 1, 8)
     _, known = directory.known(configuration(MOST, "", ("", 0))["known"])
     return {
         "list_unchanged_us": round(unchanged, 1),
--- a/benchmarks/soak/plain.py
+++ b/benchmarks/soak/plain.py
@@ -50,7 +50,7 @@
         line = Line(self.random.choice(self.places), PATIENCE_S, self.buffers, lambda text: None)
         try:
             status, _, body = line.call(
-                warehouse.start(
+                warehouse.start_request(
                     line.host,
                     told["trace"],
                     message["method"],
@@ -63,7 +63,7 @@
                 PATIENCE_S,
             )
             while status == 202:
-                status, _, body = line.call(warehouse.page(line.host, told["trace"], 0), PATIENCE_S)
+                status, _, body = line.call(warehouse.page_request(line.host, told["trace"], 0), PATIENCE_S)
             if status != 200:
                 raise OSError(status)
             return body
--- a/pathturn/standins/farm.py
+++ b/pathturn/standins/farm.py
@@ -144,7 +144,7 @@
                 host, port = self.place(name).address
                 target = f"{name}.{self.zones.get(name, ZONE)}.hosts"
                 draining = int(self.states[name] == "draining")
-                reply.add_answer(RR(directory.NAME, QTYPE.SRV, rdata=SRV(draining, 10, port, target)))
+                reply.add_answer(RR(directory.SERVICE_NAME, QTYPE.SRV, rdata=SRV(draining, 10, port, target)))
                 reply.add_ar(RR(target, QTYPE.A, rdata=A(host)))
                 told = ["kind=m", "cell=0", f"started={self.started_ms.get(name, 0)}"]
                 reply.add_ar(RR(target, QTYPE.TXT, rdata=TXT(told)))
--- a/pathturn/wire/engines.py
+++ b/pathturn/wire/engines.py
@@ -1,4 +1,4 @@
-"""Carries dispatches to engines: from the first byte to the outcome."""
+"""Runs dispatches at engines, from the connection to the outcome."""
 
 from collections.abc import Callable
 
@@ -9,139 +9,154 @@
 from pathturn.memory.facade import Facade
 from pathturn.memory.pools import Pools
 from pathturn.wire import warehouse
-from pathturn.wire.exchange import PAUSE_S, Exchange
-from pathturn.wire.line import Lost, Unreachable, Unsent
-from pathturn.wire.proof import SETTLED_US, EndProof, GiveUpReply
+from pathturn.wire.exchange import Exchange
+from pathturn.wire.line import ConnectFailedError, ConnectionLostError, RequestNotSentError
+from pathturn.wire.proof import SETTLE_US, CancelReply, TerminationProof
 
-ASK_AGAIN_S = 0.1  # between give-ups that nobody answers: a key waits for one, but each costs a dial
-CONFIRM_AGAIN_S = SETTLED_US / 1e6  # after one that was answered
+ORDER_POLL_S = 0.01
+# After a cancel request without a reply: requests of the key wait for one, but each opens a connection.
+CANCEL_RETRY_S = 0.1
+# After a cancel request that was confirmed.
+CONFIRMED_CANCEL_RETRY_S = SETTLE_US / 1e6
 
 
-class CalledBack(gevent.GreenletExit):
-    """The module wants the dispatch no more."""
+class DispatchCancelledError(gevent.GreenletExit):
+    """The dispatcher has cancelled the dispatch."""
 
 
-class TimeUp(BaseException):
-    """The dispatch's time is up."""
+class DispatchTimeoutError(BaseException):
+    """The time limit of the dispatch has passed."""
 
 
 class Engines:
+    """Runs each dispatch in a greenlet of its own and reports its outcome to the facade."""
+
     def __init__(
         self,
         facade: Facade,
         pools: Pools,
         clock: Callable[[], int],
         report_fields: list[str],
-        copies_allowed: bool,
+        allow_concurrent: bool,
     ) -> None:
-        self.facade, self.pools, self.clock = facade, pools, clock
-        self.report_fields, self.copies_allowed = report_fields, copies_allowed
+        """`allow_concurrent` tells whether two dispatches of a batch may run at the same time."""
+        self.facade = facade
+        self.pools = pools
+        self.clock = clock
+        self.report_fields = report_fields
+        self.allow_concurrent = allow_concurrent
 
     def send(self, dispatch: Dispatch) -> None:
-        gevent.spawn(self._carry, dispatch)
+        """Start a dispatch; returns at once."""
+        gevent.spawn(self._run_dispatch, dispatch)
 
-    def _carry(self, dispatch: Dispatch) -> None:
-        exchange, runner = Exchange(dispatch, self.pools), gevent.getcurrent()
-        if dispatch.called_back or dispatch.batch.over:  # its client may have left since it was decided
-            self._done(exchange, names.UNSENT)
+    def _run_dispatch(self, dispatch: Dispatch) -> None:
+        exchange = Exchange(dispatch, self.pools)
+        greenlet = gevent.getcurrent()
+        if dispatch.called_back or dispatch.batch.over:  # ended since it was decided
+            self._report(exchange, names.UNSENT)
             return
-        # Only from here on: a greenlet killed before its first step would never report an outcome.
-        dispatch.stop = lambda: runner.kill(CalledBack, block=False)
-        dispatch.rerank = lambda priority: gevent.spawn(self._rerank, dispatch, priority)
+        # Set no earlier: a greenlet that is killed before it first runs would never report an outcome.
+        dispatch.stop = lambda: greenlet.kill(DispatchCancelledError, block=False)
+        dispatch.rerank = lambda priority: gevent.spawn(self._change_priority, dispatch, priority)
         try:
-            with gevent.Timeout(self._left_s(dispatch), TimeUp):
-                self._run(exchange)
-        except Unreachable as fault:
-            self._done(exchange, names.CONNECT_REFUSED if fault.refused else names.UNREACHABLE)
-        except Unsent:
-            exchange.drop("unsent")
-            self._done(exchange, names.UNSENT)
-        except Lost as fault:
-            exchange.code = f"lost_{fault}"
-            self._part(exchange, names.RESET)
-        except Exception as fault:  # noqa: BLE001 - without an outcome its batch would never be answered
-            exchange.code = f"fault_{type(fault).__name__}"
-            self._part(exchange, names.ERRORED)
-        except TimeUp:
-            exchange.code = "time_up"
-            self._part(exchange, names.TIMED_OUT)
-        except CalledBack:
-            exchange.code = "called_back"
-            self._part(exchange, names.CANCELLED)
-
-    def _part(self, exchange: Exchange, outcome: str) -> None:
-        """Ends a dispatch whose query may still run. What waits for the proof is a greenlet of its own: one
-        that is called back meanwhile would never report."""
+            with gevent.Timeout(self._remaining_s(dispatch), DispatchTimeoutError):
+                self._run_query(exchange)
+        except ConnectFailedError as error:
+            self._report(exchange, names.CONNECT_REFUSED if error.refused else names.UNREACHABLE)
+        except RequestNotSentError:
+            exchange.close_connection("not_sent")
+            self._report(exchange, names.UNSENT)
+        except ConnectionLostError as error:
+            exchange.close_code = f"lost_{error}"
+            self._finish_interrupted(exchange, names.RESET)
+        except Exception as error:  # noqa: BLE001 - without an outcome its batch would never be answered
+            exchange.close_code = f"fault_{type(error).__name__}"
+            self._finish_interrupted(exchange, names.ERRORED)
+        except DispatchTimeoutError:
+            exchange.close_code = "timed_out"
+            self._finish_interrupted(exchange, names.TIMED_OUT)
+        except DispatchCancelledError:
+            exchange.close_code = "cancelled"
+            self._finish_interrupted(exchange, names.CANCELLED)
+
+    def _finish_interrupted(self, exchange: Exchange, outcome: str) -> None:
+        """Finish a dispatch whose query may still run. Its termination is awaited in a new greenlet: the
+        present one could be killed meanwhile and would not report the outcome."""
         dispatch = exchange.dispatch
         dispatch.stop = dispatch.rerank = None
-        if not exchange.begun:
-            exchange.drop(exchange.code)
-            self._done(exchange, names.UNSENT)
-        elif not self.copies_allowed and (dispatch.batch.key is not None or outcome != names.TIMED_OUT):
-            gevent.spawn(self._see_out, exchange, outcome)
+        if not exchange.started:
+            exchange.close_connection(exchange.close_code)
+            self._report(exchange, names.UNSENT)
+        elif not self.allow_concurrent and (dispatch.batch.key is not None or outcome != names.TIMED_OUT):
+            gevent.spawn(self._report_after_termination, exchange, outcome)
         else:
-            told = self.facade.unproven(dispatch) if dispatch.batch.key is not None else None
-            self._done(exchange, outcome)
-            gevent.spawn(self._prove, exchange, told)
-
-    def _see_out(self, exchange: Exchange, outcome: str) -> None:
-        """Against two dispatches of a batch at once: the outcome waits until the query is over. With a key
-        it may outlast the batch, which the module ends in time; without, it would hold up its end."""
-        left_s = None if exchange.dispatch.batch.key is not None else self._left_s(exchange.dispatch)
-        with gevent.Timeout(left_s, False):
-            self._prove(exchange, lambda: None)
-        exchange.drop(exchange.code)
-        self._done(exchange, outcome)
-
-    def _prove(self, exchange: Exchange, told: Callable[[], None] | None) -> None:
-        """Gives the query up; `told` is called once that is proven. Time alone proves nothing while the
-        engine is out of reach: there a query was seen to go on beyond the protocol's 2 s."""
-        if told is None:
-            exchange.drop(exchange.code)
-            self._give_up(exchange.dispatch)
+            on_resolved = self.facade.unproven(dispatch) if dispatch.batch.key is not None else None
+            self._report(exchange, outcome)
+            gevent.spawn(self._terminate, exchange, on_resolved)
+
+    def _report_after_termination(self, exchange: Exchange, outcome: str) -> None:
+        """Report the outcome once the query has ended, so that no two dispatches of a batch run at the same
+        time. With a key this may outlast the batch, which the dispatcher ends in time; without one, it
+        is bounded by the time limit, as the end of the batch waits for it."""
+        timeout_s = None if exchange.dispatch.batch.key is not None else self._remaining_s(exchange.dispatch)
+        with gevent.Timeout(timeout_s, False):
+            self._terminate(exchange, lambda: None)
+        exchange.close_connection(exchange.close_code)
+        self._report(exchange, outcome)
+
+    def _terminate(self, exchange: Exchange, on_resolved: Callable[[], None] | None) -> None:
+        """Cancel the query; call `on_resolved` once it is confirmed to have ended, however long that takes:
+        on an engine that cannot be reached a query has been seen to run beyond the protocol's 2 s."""
+        if on_resolved is None:
+            exchange.close_connection(exchange.close_code)
+            self._cancel(exchange.dispatch)
             return
-        exchange.settle()
-        if not exchange.give_up():
-            exchange.drop(exchange.code)
-            self._prove_elsewhere(exchange)
-        told()
-
-    def _prove_elsewhere(self, exchange: Exchange) -> None:
-        """Gives the query up on other connections than its own, until that is proven."""
+        exchange.await_pending_response()
+        if not exchange.cancel():
+            exchange.close_connection(exchange.close_code)
+            self._confirm_termination(exchange)
+        on_resolved()
+
+    def _confirm_termination(self, exchange: Exchange) -> None:
+        """Send cancel requests on other connections than the exchange's own until the query is confirmed to
+        have ended."""
         dispatch = exchange.dispatch
         began_us = self.clock()
-        proof = EndProof(exchange.start_answered, exchange.start_latest_us)
+        proof = TerminationProof(exchange.start_acknowledged, exchange.start_arrival_limit_us)
         while True:
-            # A second answer on a connection that has just brought one may be a copy of it.
-            reply = self._give_up(dispatch, new=proof.heard is GiveUpReply.CONFIRMED)
-            if proof.hear(reply, self.clock()):
+            # A second confirmation on the same connection may be a duplicate of the first.
+            reply = self._cancel(dispatch, new_connection=proof.last_reply is CancelReply.CONFIRMED)
+            if proof.record(reply, self.clock()):
                 resolved_by = reply.value
                 break
-            if not self.facade.named(dispatch) and self.clock() >= exchange.forgotten_us:
-                resolved_by = "unlisted"
+            if not self.facade.named(dispatch) and self.clock() >= exchange.query_expiry_us:
+                resolved_by = "engine_removed"
                 break
-            gevent.sleep(CONFIRM_AGAIN_S if reply is GiveUpReply.CONFIRMED else ASK_AGAIN_S)
+            gevent.sleep(CONFIRMED_CANCEL_RETRY_S if reply is CancelReply.CONFIRMED else CANCEL_RETRY_S)
         self.facade.log_line(
-            f"attempt {dispatch.batch.ticket} resolved by={resolved_by} "
+            f"execution {dispatch.batch.ticket} resolved by={resolved_by} "
             f"after_ms={(self.clock() - began_us) // 1000}"
         )
 
-    def _left_s(self, dispatch: Dispatch) -> float:
+    def _remaining_s(self, dispatch: Dispatch) -> float:
         return max(0, dispatch.until_us - self.clock()) / 1e6
 
-    def _run(self, exchange: Exchange) -> None:
-        dispatch, batch = exchange.dispatch, exchange.dispatch.batch
+    def _run_query(self, exchange: Exchange) -> None:
+        """Start the query, poll it until it ends, fetch its result, and report the outcome."""
+        dispatch = exchange.dispatch
+        batch = exchange.dispatch.batch
         while not self.facade.follows(dispatch):
-            gevent.sleep(PAUSE_S)
-        exchange.line = self.pools.borrow(dispatch.place)
+            gevent.sleep(ORDER_POLL_S)
+        exchange.connection = self.pools.borrow(dispatch.place)
         if not self.facade.stands(dispatch):
-            exchange.end()
-            self._done(exchange, names.UNSENT)
+            exchange.release_connection()
+            self._report(exchange, names.UNSENT)
             return
-        exchange.begun = True
+        exchange.started = True
         pages, (status, fields, body) = exchange.start(
-            warehouse.start(
-                exchange.line.host,
+            warehouse.start_request(
+                exchange.connection.host,
                 batch.ticket,
                 batch.group,
                 dispatch.until_us - self.clock(),
@@ -152,68 +167,71 @@
             )
         )
         while status == 202:
-            if (told := warehouse.note(fields)) is not None:
-                self.facade.note(dispatch, *told)
-            pages, (status, fields, body) = exchange.news()
-        ended, outcome, rows = self.clock(), warehouse.outcome(status, fields), None
+            if (notice := warehouse.notice(fields)) is not None:
+                self.facade.note(dispatch, *notice)
+            pages, (status, fields, body) = exchange.poll()
+        ended_us = self.clock()
+        outcome = warehouse.outcome(status, fields)
+        rows = None
         if outcome == names.RETURNED:
-            rows = self._rows(exchange, pages, body)
+            rows = self._fetch_rows(exchange, pages, body)
             outcome = names.ERRORED if rows is None else outcome
-        exchange.end()
-        self._done(exchange, outcome, ended, fields, rows or b"")
+        exchange.release_connection()
+        self._report(exchange, outcome, ended_us, fields, rows or b"")
 
-    def _rows(self, exchange: Exchange, pages: int, first: bytes) -> bytes | None:
-        """The whole result, or None where the engine has lost a part of it."""
-        rows = [first]
+    def _fetch_rows(self, exchange: Exchange, pages: int, first_page: bytes) -> bytes | None:
+        """Return the complete result, or None if the engine has lost a page or the result is too large."""
+        rows = [first_page]
         for number in range(1, pages):
             if (page := exchange.page(number)) is None:
                 return None
             rows.append(page)
-        whole = b"".join(rows)
-        return whole if len(whole) <= warehouse.LARGEST_RESULT else None
+        result = b"".join(rows)
+        return result if len(result) <= warehouse.MAX_RESULT_BYTES else None
 
-    def _done(
+    def _report(
         self,
         exchange: Exchange,
         outcome: str,
-        ended: int = 0,
+        ended_us: int = 0,
         fields: dict[str, str] | None = None,
         rows: bytes = b"",
     ) -> None:
-        told = fields or {}
+        reported = fields or {}
         exchange.dispatch.stop = exchange.dispatch.rerank = None
         self.facade.report(
             exchange.dispatch,
             outcome,
-            ended or self.clock(),
-            round(warehouse.number(told, "x-cost-ms") * 1000),
-            warehouse.number(told, "x-needed-mb"),
-            warehouse.meter(told, self.report_fields),
+            ended_us or self.clock(),
+            round(warehouse.numeric_field(reported, "x-cost-ms") * 1000),
+            warehouse.numeric_field(reported, "x-needed-mb"),
+            warehouse.load_report(reported, self.report_fields),
             rows,
         )
 
-    def _give_up(self, dispatch: Dispatch, new: bool = False) -> GiveUpReply:
-        return self._aside(dispatch, warehouse.give_up, new)
+    def _cancel(self, dispatch: Dispatch, new_connection: bool = False) -> CancelReply:
+        return self._call_control(dispatch, warehouse.cancel_request, new_connection)
 
-    def _rerank(self, dispatch: Dispatch, priority: int) -> None:
-        self._aside(dispatch, lambda host, ticket: warehouse.rank(host, ticket, priority))
+    def _change_priority(self, dispatch: Dispatch, priority: int) -> None:
+        self._call_control(dispatch, lambda host, ticket: warehouse.priority_request(host, ticket, priority))
 
-    def _aside(
-        self, dispatch: Dispatch, request: Callable[[str, str], bytes], new: bool = False
-    ) -> GiveUpReply:
-        """A call beside the one that asks for news, on a new connection where that is wanted."""
+    def _call_control(
+        self, dispatch: Dispatch, request: Callable[[str, str], bytes], new_connection: bool = False
+    ) -> CancelReply:
+        """Send a control request on another connection than the one that polls the query, and if wanted on a
+        newly opened one."""
         exchange = Exchange(dispatch, self.pools)
         try:
-            with gevent.Timeout(self.pools.dial_s, TimeUp):
-                exchange.line = self.pools.borrow(dispatch.place, new)
-                status = exchange.line.tell(
-                    request(exchange.line.host, dispatch.batch.ticket), exchange.patience_s
+            with gevent.Timeout(self.pools.dial_s, DispatchTimeoutError):
+                exchange.connection = self.pools.borrow(dispatch.place, new_connection)
+                status = exchange.connection.call_control(
+                    request(exchange.connection.host, dispatch.batch.ticket), exchange.response_timeout_s
                 )
-            exchange.end()
-        except Unreachable as fault:
-            return GiveUpReply.REFUSED if fault.refused else GiveUpReply.SILENT
-        except (Lost, TimeUp):
-            return GiveUpReply.SILENT
+            exchange.release_connection()
+        except ConnectFailedError as error:
+            return CancelReply.REFUSED if error.refused else CancelReply.NO_REPLY
+        except (ConnectionLostError, DispatchTimeoutError):
+            return CancelReply.NO_REPLY
         finally:
-            exchange.drop(exchange.code)
-        return GiveUpReply.CONFIRMED if status == warehouse.GIVEN_UP else GiveUpReply.SILENT
+            exchange.close_connection(exchange.close_code)
+        return CancelReply.CONFIRMED if status == warehouse.CONTROL_ACCEPTED else CancelReply.NO_REPLY
--- a/pathturn/wire/exchange.py
+++ b/pathturn/wire/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt at an engine: its start, news and pages, on whichever connection it uses at the moment."""
+"""The requests of one dispatch to its engine: start, polls and pages, over successive connections."""
 
 from collections.abc import Callable
 from functools import partial
@@ -8,152 +8,192 @@
 from pathturn.memory.batches import Dispatch
 from pathturn.memory.pools import Pools
 from pathturn.wire import warehouse
-from pathturn.wire.http import Unreadable
-from pathturn.wire.line import Line, Lost, SuspectedCopyError, Unreachable, Unsent
-from pathturn.wire.warehouse import GoodEnd
-
-Answer = tuple[int, dict[str, str], bytes]
-# A spoilt answer comes whole when asked for again; an engine that fails so often in a row has lost it.
-TRIES, PAUSE_S = 6, 0.01
-RESETS = frozenset({"closed", "ConnectionResetError", "BrokenPipeError"})  # what a process that dies leaves
+from pathturn.wire.http import MalformedResponseError
+from pathturn.wire.line import (
+    ConnectFailedError,
+    ConnectionLostError,
+    Line,
+    RequestNotSentError,
+    SuspectedDuplicateError,
+)
+from pathturn.wire.warehouse import ResultFingerprint
+
+Response = tuple[int, dict[str, str], bytes]
+# A repeated request recovers a corrupted response; after so many failures in a row the result is lost.
+MAX_TRIES = 6
+RETRY_BACKOFF_S = 0.01
+# Reasons of a lost connection that an engine whose process has exited leaves behind.
+RESETS = frozenset({"peer_closed", "ConnectionResetError", "BrokenPipeError"})
 
 
 class Exchange:
-    """A dispatch and the connection that it uses at the moment. A query is tied to no connection and keeps
-    its result: where an answer was lost, late or spoilt it is asked for again on a new one, not run again."""
+    """A dispatch and the connection that it currently uses.
+
+    A query is not bound to a connection and keeps its result: if a response is lost, late or corrupted, it
+    is requested again on a new connection, and the query is not run again.
+    """
 
     def __init__(self, dispatch: Dispatch, pools: Pools) -> None:
-        self.dispatch, self.pools, self.begun, self.torn = dispatch, pools, False, False
-        self.line: Line | None = None
-        # A connection that brought what may be a second copy, and that; kept until the engine's word shows.
-        self.suspected: tuple[Line, GoodEnd] | None = None
-        self.code = "unanswered"  # why its connection is dropped in the end
-        self.forgotten_us = 0  # when the engine has ended it by itself, if it hears of it no more
-        # Whether the engine has answered its start or a call about it, and until when the start may reach it.
-        self.start_answered = False
-        self.start_latest_us = 0
-        self.patience_s = pools.dial_s + warehouse.NEWS_US / 1e6
-
-    def start(self, request: bytes) -> tuple[int, Answer]:
-        self.start_latest_us = self.pools.clock() + warehouse.NEWS_US + warehouse.FORGOTTEN_US
+        self.dispatch = dispatch
+        self.pools = pools
+        self.started = False
+        self.response_lost = False
+        self.connection: Line | None = None
+        # A connection that received a result which may be a duplicate; kept until the engine's next response.
+        self.suspected: tuple[Line, ResultFingerprint] | None = None
+        self.close_code = "no_response"  # logged when the connection is closed
+        self.query_expiry_us = 0  # by then the engine has ended the query, unless it is polled again
+        # Whether the engine has answered the start or a request about it.
+        self.start_acknowledged = False
+        self.start_arrival_limit_us = 0  # until then the start may reach the engine
+        self.response_timeout_s = pools.dial_s + warehouse.POLL_RESPONSE_US / 1e6
+
+    def start(self, request: bytes) -> tuple[int, Response]:
+        """Send the start; return the number of pages of the result, 0 if there is none yet, and the
+        response."""
+        self.start_arrival_limit_us = (
+            self.pools.clock() + warehouse.POLL_RESPONSE_US + warehouse.UNPOLLED_LIFETIME_US
+        )
         try:
-            told = self._once(request, warehouse.news)
-            self.start_answered = True
-            return told
-        except Unsent:
-            raise  # it never went out whole: there is no news to ask for
-        except Lost as fault:
-            if str(fault) in RESETS:
-                self.start_latest_us = 0  # what has not reached the engine by then never will
-            self._lose(fault)
-        return self.news()
-
-    def settle(self) -> None:
-        """Waits for the answer to a call that is out: a give-up on another connection could overtake the
-        start it is to end. One that is torn brings nothing more; one that stays silent is torn by us."""
-        if self.line is None or not self.line.due:
+            result = self._call_once(request, warehouse.page_count)
+            self.start_acknowledged = True
+            return result
+        except RequestNotSentError:
+            raise  # the engine cannot have received the start, so there is nothing to poll
+        except ConnectionLostError as error:
+            if str(error) in RESETS:
+                self.start_arrival_limit_us = 0  # after a reset nothing more arrives
+            self._release_lost_connection(error)
+        return self.poll()
+
+    def await_pending_response(self) -> None:
+        """Wait for the response to a request in transit: a cancel request on another connection could
+        overtake the start that it is to cancel. Without a response in time the connection is reset, and
+        nothing more arrives over it."""
+        if self.connection is None or not self.connection.response_pending:
             return
-        answers: list[Answer] = []
-        self._aside(lambda: answers.append(self.line.answer()))
-        if answers and not self._unknown(answers[0]):
-            self.start_answered = True
-
-    def give_up(self) -> bool:
-        """On the connection that brought its news, if that is free: an engine may take no new one."""
-        if self.line is None or self.line.due or not self.start_answered:
+        responses: list[Response] = []
+        self._call_in_time(lambda: responses.append(self.connection.read_response()))
+        if responses and not self._may_be_unknown(responses[0]):
+            self.start_acknowledged = True
+
+    def cancel(self) -> bool:
+        """Cancel the query on the exchange's own connection if that is idle, as the engine may accept no new
+        one; return whether the engine has confirmed it."""
+        if self.connection is None or self.connection.response_pending or not self.start_acknowledged:
             return False
-        call = warehouse.give_up(self.line.host, self.dispatch.batch.ticket)
-        confirmed = []
-        answered = self._aside(lambda: confirmed.append(self.line.tell(call, self.patience_s)))
+        request = warehouse.cancel_request(self.connection.host, self.dispatch.batch.ticket)
+        statuses = []
+        answered = self._call_in_time(
+            lambda: statuses.append(self.connection.call_control(request, self.response_timeout_s))
+        )
         if answered:
-            self.end()
-        return confirmed == [warehouse.GIVEN_UP]
+            self.release_connection()
+        return statuses == [warehouse.CONTROL_ACCEPTED]
 
-    def _aside(self, call: Callable[[], Answer]) -> bool:
-        """Whether it brought an answer in time; if not, the connection is of no use any more."""
+    def _call_in_time(self, call: Callable[[], object]) -> bool:
+        """Return whether the call completed in time; if not, the connection is not usable any more."""
         try:
-            with gevent.Timeout(self.patience_s, False):
+            with gevent.Timeout(self.response_timeout_s, False):
                 call()
                 return True
-        except Lost as fault:
-            self._lose(fault)
+        except ConnectionLostError as error:
+            self._release_lost_connection(error)
         return False
 
-    def _unknown(self, answer: Answer) -> bool:
-        """Whether the engine may know nothing of the query, rather than tell of its end."""
-        return self.torn and answer[0] == 500
+    def _may_be_unknown(self, response: Response) -> bool:
+        """Return whether the response may mean that the engine does not know the query, instead of that the
+        query has ended."""
+        return self.response_lost and response[0] == 500
+
+    def poll(self) -> tuple[int, Response]:
+        """Poll the query; return the number of pages of its result, 0 if there is none yet, and the response.
 
-    def news(self) -> tuple[int, Answer]:
-        """After a lost call an error may also mean that the engine knows nothing of the query: its start may
-        still be on its way, or it ended unasked or with its process. That proves neither when nor whether."""
-        pages, answer = self._ask(0, warehouse.news)
-        if self._unknown(answer):
-            raise Lost("unknown")
-        self.start_answered = True
-        return pages, answer
+        After a lost response an error may also mean that the engine does not know the query: the start may
+        still be in transit, or the query was not polled for too long, or the engine was restarted. It does
+        not tell when the query ended, or whether it did.
+        """
+        pages, response = self._request_page(0, warehouse.page_count)
+        if self._may_be_unknown(response):
+            raise ConnectionLostError("query_unknown")
+        self.start_acknowledged = True
+        return pages, response
 
     def page(self, number: int) -> bytes | None:
-        there, answer = self._ask(number, partial(warehouse.further, number))
-        return answer[2] if there else None
+        """Return a page of the result, None if the engine has lost it."""
+        found, response = self._request_page(number, partial(warehouse.is_page, number))
+        return response[2] if found else None
 
-    def _ask(self, number: int, check: Callable[..., int]) -> tuple[int, Answer]:
-        for tries in range(TRIES):
+    def _request_page(self, number: int, check: Callable[..., int]) -> tuple[int, Response]:
+        """Request a page, and again on a new connection if its response is lost or invalid."""
+        for tries in range(MAX_TRIES):
             try:
-                if self.line is None:
-                    # Not all at once: an engine that has just been started anew resets many at a time.
-                    gevent.sleep(PAUSE_S * 2**tries)
-                    self.line = self.pools.borrow(self.dispatch.place, new=True)
-                return self._once(warehouse.page(self.line.host, self.dispatch.batch.ticket, number), check)
-            except Unreachable as fault:
-                raise Lost("engine_down") from fault
-            except Lost as fault:
-                self._lose(fault)
-        raise Lost("tries")
-
-    def _once(self, request: bytes, check: Callable[..., int]) -> tuple[int, Answer]:
-        """One call, and its answer with what the check found in it. A connection that brought more than the
-        answer is not used again."""
-        self.forgotten_us = self.pools.clock() + warehouse.NEWS_US + warehouse.FORGOTTEN_US
-        answer = self.line.call(request, self.patience_s)
-        self._settle_suspicion(warehouse.end(*answer))
+                if self.connection is None:
+                    # Backoff: an engine that was just restarted resets many connections at once.
+                    gevent.sleep(RETRY_BACKOFF_S * 2**tries)
+                    self.connection = self.pools.borrow(self.dispatch.place, new=True)
+                return self._call_once(
+                    warehouse.page_request(self.connection.host, self.dispatch.batch.ticket, number), check
+                )
+            except ConnectFailedError as error:
+                raise ConnectionLostError("connect_failed") from error
+            except ConnectionLostError as error:
+                self._release_lost_connection(error)
+        raise ConnectionLostError("retries_exhausted")
+
+    def _call_once(self, request: bytes, check: Callable[..., int]) -> tuple[int, Response]:
+        """Send a request; return the result of the check and the response. A connection that received more
+        data than the response is not reused."""
+        self.query_expiry_us = (
+            self.pools.clock() + warehouse.POLL_RESPONSE_US + warehouse.UNPOLLED_LIFETIME_US
+        )
+        response = self.connection.call(request, self.response_timeout_s)
+        self._resolve_suspected(warehouse.result_fingerprint(*response))
         try:
-            found = check(*answer)
-        except Unreadable as fault:
-            raise Lost(f"spoilt_{fault}") from fault
-        if self.line.parts:
-            self.drop(self.line.parts)
-        return found, answer
-
-    def _lose(self, fault: Lost) -> None:
-        self.torn = True
-        if isinstance(fault, SuspectedCopyError) and self.line is not None and not self.line.parts:
-            self._settle_suspicion(None)
-            self.suspected = (self.line, fault.end)
-            self.line = None
+            result = check(*response)
+        except MalformedResponseError as error:
+            raise ConnectionLostError(f"malformed_{error}") from error
+        if self.connection.parts:
+            self.close_connection(self.connection.parts)
+        return result, response
+
+    def _release_lost_connection(self, error: ConnectionLostError) -> None:
+        """Close the connection after a lost response, or set it aside if the result may be a duplicate."""
+        self.response_lost = True
+        if (
+            isinstance(error, SuspectedDuplicateError)
+            and self.connection is not None
+            and not self.connection.parts
+        ):
+            self._resolve_suspected(None)
+            self.suspected = (self.connection, error.fingerprint)
+            self.connection = None
         else:
-            self.drop(f"lost_{fault}")
+            self.close_connection(f"lost_{error}")
 
-    def _settle_suspicion(self, end: GoodEnd | None) -> None:
-        """Use a suspected connection again if the engine, asked on a new one, tells of the same end. Should
-        a copy of that be on its way all the same, whoever uses it next suspects it in turn."""
+    def _resolve_suspected(self, fingerprint: ResultFingerprint | None) -> None:
+        """Reuse a suspected connection if the engine gives the same result on a new one. A duplicate that is
+        in transit nonetheless is suspected in turn by the connection's next user."""
         if self.suspected is None:
             return
-        line, suspected_end = self.suspected
+        connection, suspected_fingerprint = self.suspected
         self.suspected = None
-        if end == suspected_end:
-            self.pools.expect_equal_answers(line.place)
-            self.pools.give_back(line)
+        if fingerprint == suspected_fingerprint:
+            self.pools.expect_equal_answers(connection.place)
+            self.pools.give_back(connection)
         else:
-            self.pools.drop(line, "lost_copy")
-
-    def end(self) -> None:
-        self._settle_suspicion(None)
-        if self.line is not None:
-            self.pools.give_back(self.line)
-            self.line = None
-
-    def drop(self, code: str) -> None:
-        self._settle_suspicion(None)
-        if self.line is not None:
-            self.pools.drop(self.line, code)
-            self.line = None
+            self.pools.drop(connection, "lost_duplicate")
+
+    def release_connection(self) -> None:
+        """Return the connection to the pool."""
+        self._resolve_suspected(None)
+        if self.connection is not None:
+            self.pools.give_back(self.connection)
+            self.connection = None
+
+    def close_connection(self, code: str) -> None:
+        """Close the connection with a reason code for the log."""
+        self._resolve_suspected(None)
+        if self.connection is not None:
+            self.pools.drop(self.connection, code)
+            self.connection = None
--- a/pathturn/wire/http.py
+++ b/pathturn/wire/http.py
@@ -1,98 +1,107 @@
-"""HTTP/1.1 as spoken to engines: calls to bytes, bytes to answers. No sockets here."""
+"""HTTP/1.1 with engines: encodes requests and parses responses incrementally. Does no I/O."""
 
 from collections.abc import Iterable
 
 import httptools
 
-# The protocol's figure for a page. A head takes a few hundred bytes; whatever passes this is not one of ours.
-LARGEST_BODY, LARGEST_HEAD = 6000, 8192
-VERSION = b"HTTP/1."  # how each answer begins
+# The engine protocol limits a page to 6,000 bytes; a response head takes a few hundred bytes.
+MAX_BODY_BYTES = 6000
+MAX_HEAD_BYTES = 8192
+STATUS_LINE_PREFIX = b"HTTP/1."
 
 
-class Unreadable(Exception):
-    """What came is no answer, or not the one that is due; its text is the reason's code."""
+class MalformedResponseError(Exception):
+    """The received bytes are no valid response to the pending request; the message is a reason code."""
 
 
-def check_one_head(text: bytes) -> None:
-    """Refuse the rest of a head into which another one runs: a copy of an earlier answer broke off there, and
-    its status would be taken for that of the answer behind it."""
-    if VERSION in text:
-        raise Unreadable("two_heads")
+def check_single_head(text: bytes) -> None:
+    """Reject a reason phrase or header value that contains another status line: a truncated duplicate of an
+    earlier response precedes the real one, and its status would be attributed to that."""
+    if STATUS_LINE_PREFIX in text:
+        raise MalformedResponseError("nested_head")
 
 
-class Answers:
-    """Reads one answer after another from a connection's bytes. Holds no more than one answer can have: one
-    said to be larger is refused before its bytes, one without an end as soon as it is too long."""
+class ResponseParser:
+    """Incremental parser of successive responses on one connection.
+
+    Memory is bounded by the largest valid response: a larger Content-Length is rejected before its body is
+    read, a response without one as soon as it exceeds the limit.
+    """
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
-        self.keeps = True
-        self._begin()
+        self.keep_alive = True
+        self._reset()
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         self.fields: dict[str, str] = {}
         self.reason = b""
-        self.pieces: list[bytes] = []
-        self.whole, self.size = False, 0
+        self.body_chunks: list[bytes] = []
+        self.complete = False
+        self.received_bytes = 0
 
-    def feed(self, piece: memoryview) -> bool:
-        """Whether the answer is whole now."""
-        self.size += len(piece)
+    def feed(self, data: memoryview) -> bool:
+        """Parse received bytes; return whether the response is complete."""
+        self.received_bytes += len(data)
         try:
-            self.parser.feed_data(piece)
-        except (httptools.HttpParserError, httptools.HttpParserCallbackError) as fault:
-            if not self.whole:
-                raise Unreadable("unreadable") from fault
-            self.keeps = False  # noise behind an answer is not its fault, but nothing after it can be trusted
-        if not self.whole and self.size > LARGEST_HEAD + LARGEST_BODY:
-            raise Unreadable("overlong")
-        return self.whole
+            self.parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserCallbackError) as error:
+            if not self.complete:
+                raise MalformedResponseError("parse_error") from error
+            # Garbage after a complete response does not invalidate it, but the connection is not reusable.
+            self.keep_alive = False
+        if not self.complete and self.received_bytes > MAX_HEAD_BYTES + MAX_BODY_BYTES:
+            raise MalformedResponseError("too_large")
+        return self.complete
 
     def take(self) -> tuple[int, dict[str, str], bytes]:
-        answer = self.status, self.fields, b"".join(self.pieces)
-        self._begin()
-        return answer
+        """Return the complete response as status, header fields and body, and reset for the next one."""
+        response = self.status, self.fields, b"".join(self.body_chunks)
+        self._reset()
+        return response
 
-    # httptools calls these.
+    # Callbacks of httptools.
     def on_message_begin(self) -> None:
-        if self.whole:
-            self.keeps = False  # a second copy: the next call would be answered with it
+        if self.complete:
+            self.keep_alive = False  # a duplicate response: it would be read as the next request's response
 
     def on_status(self, reason: bytes) -> None:
-        if self.whole:
+        if self.complete:
             return
         self.reason += reason
-        check_one_head(self.reason)
+        check_single_head(self.reason)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.whole:
+        if self.complete:
             return
-        check_one_head(value)
+        check_single_head(value)
         key = name.decode("latin-1").lower()
         self.fields[key] = value.decode("latin-1")
-        if key == "content-length" and int(value) > LARGEST_BODY:
-            raise Unreadable("overlong")
+        if key == "content-length" and int(value) > MAX_BODY_BYTES:
+            raise MalformedResponseError("too_large")
 
     def on_body(self, body: bytes) -> None:
-        if not self.whole:
-            self.pieces.append(body)
+        if not self.complete:
+            self.body_chunks.append(body)
 
     def on_message_complete(self) -> None:
-        if self.whole:
+        if self.complete:
             return
         self.status = self.parser.get_status_code()
         if self.status < 200:
-            self.fields = {}  # one in front of the answer proper
+            self.fields = {}  # an informational response precedes the final one
             return
-        # Asked here: once the parser stands before the next answer it always says no.
-        self.whole, self.keeps = True, self.keeps and self.parser.should_keep_alive()
+        self.complete = True
+        # Evaluated here because the parser always returns False once it expects the next response.
+        self.keep_alive = self.keep_alive and self.parser.should_keep_alive()
 
 
-def call(
-    verb: str, path: str, host: str, fields: Iterable[tuple[str, object]] = (), body: bytes = b""
+def build_request(
+    method: str, path: str, host: str, fields: Iterable[tuple[str, object]] = (), body: bytes = b""
 ) -> bytes:
-    lines = [f"{verb} {path} HTTP/1.1", f"Host: {host}"]
+    """Encode a request; header fields whose value is None are omitted."""
+    lines = [f"{method} {path} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in fields if value is not None]
-    if body or verb in ("POST", "PUT"):
+    if body or method in ("POST", "PUT"):
         lines.append(f"Content-Length: {len(body)}")
     return "\r\n".join([*lines, "", ""]).encode("latin-1") + body
--- a/pathturn/wire/line.py
+++ b/pathturn/wire/line.py
@@ -1,4 +1,4 @@
-"""One connection to an engine: blocking calls, one at a time."""
+"""One connection to an engine: blocking requests, one at a time."""
 
 import select
 import struct
@@ -13,182 +13,206 @@
 from pathturn.memory.buffers import Buffers
 from pathturn.memory.roster import Place
 from pathturn.wire import warehouse
-from pathturn.wire.http import Answers, Unreadable
-from pathturn.wire.warehouse import GoodEnd
+from pathturn.wire.http import MalformedResponseError, ResponseParser
+from pathturn.wire.warehouse import ResultFingerprint
 
-# Closes at once, with nothing that still waits in the system sent on.
-TORN = struct.pack("ii", 1, 0)
-# Good ends remembered of a connection: a second copy of one of them may come while others are on their way.
-ENDS = 4
-NEWS = (200, 202)  # statuses that come with news or pages alone
-# An answer so soon after an equal one on its connection may be a second copy of that one. Copies were seen up
-# to 0.7 s late. Answers to give-ups are all equal.
-COPIES_S = 1.0
-ENDED = select.POLLRDHUP | select.POLLERR | select.POLLHUP
+# SO_LINGER with a timeout of zero: closing resets the connection and discards unsent data.
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+# Results remembered for each connection: a duplicate of one may arrive while later ones are in transit.
+RECENT_RESULTS = 4
+POLL_STATUSES = (200, 202)  # sent only in response to polls and page requests
+# A response that equals one received so recently on the same connection may be a duplicate of it: duplicates
+# have been seen up to 0.7 s late. Responses to control requests are all equal.
+DUPLICATE_WINDOW_S = 1.0
+HANGUP_EVENTS = select.POLLRDHUP | select.POLLERR | select.POLLHUP
 
 
-class Unreachable(Exception):
-    """No connection came up, which proves that nothing ran; refused, that no process is there."""
+class ConnectFailedError(Exception):
+    """No connection was established, so nothing ran. `refused` tells that no process listens there."""
 
-    def __init__(self, fault: OSError) -> None:
-        super().__init__(type(fault).__name__)
-        self.refused = isinstance(fault, ConnectionRefusedError)
+    def __init__(self, cause: OSError) -> None:
+        super().__init__(type(cause).__name__)
+        self.refused = isinstance(cause, ConnectionRefusedError)
 
 
-class ConnectTimeoutError(Unreachable):
-    """The connection is not up in time, and still being established; whoever catches this owns it."""
+class ConnectTimeoutError(ConnectFailedError):
+    """The connection was not established in time and is still pending; whoever catches this owns it."""
 
-    def __init__(self, fault: OSError, connection: "Line") -> None:
-        super().__init__(fault)
+    def __init__(self, cause: OSError, connection: "Line") -> None:
+        super().__init__(cause)
         self.connection = connection
 
 
-class Lost(Exception):
-    """The connection ended, or became unreadable, before the answer was whole."""
+class ConnectionLostError(Exception):
+    """The connection was closed, or its data became invalid, before the response was complete."""
 
 
-class SuspectedCopyError(Lost):
-    """A good end came that an earlier call on the connection has brought as well, and not long ago: a second
-    copy, or the answer of an engine that gives equal ones."""
+class SuspectedDuplicateError(ConnectionLostError):
+    """The result equals one received on this connection a short time ago: it is either a duplicate of that,
+    or the engine gives equal results."""
 
-    def __init__(self, end: GoodEnd) -> None:
-        super().__init__("copy")
-        self.end = end
+    def __init__(self, fingerprint: ResultFingerprint) -> None:
+        super().__init__("duplicate")
+        self.fingerprint = fingerprint
 
 
-class Unsent(Lost):
-    """It ended before the call had gone out whole, which proves that nothing came of it."""
+class RequestNotSentError(ConnectionLostError):
+    """The connection was closed before the request was sent completely, so it had no effect."""
 
 
-def quiet(link: socket.socket) -> bool:
-    """Whether nothing lies in the socket, neither bytes nor an end. Whoever waits on it goes on waiting."""
-    patience = link.gettimeout()
-    link.settimeout(0)
+def quiet(connection: socket.socket) -> bool:
+    """Return whether the socket has neither unread data nor an end of stream; does not wake its readers."""
+    timeout_s = connection.gettimeout()
+    connection.settimeout(0)
     try:
-        link.recv(1, socket.MSG_PEEK)
+        connection.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
         return True
     except OSError:
         return False
     finally:
-        link.settimeout(patience)
+        connection.settimeout(timeout_s)
     return False
 
 
-def hung_up(link: socket.socket) -> bool:
-    """Whether the peer has ended it, also where bytes before that end lie unread."""
-    if link.closed:
+def hung_up(connection: socket.socket) -> bool:
+    """Return whether the peer has closed the connection, even if data before that is unread."""
+    if connection.closed:
         return True
     poll = select.poll()
-    poll.register(link.fileno(), select.POLLRDHUP)
-    return any(found & ENDED for _, found in poll.poll(0))
+    poll.register(connection.fileno(), select.POLLRDHUP)
+    return any(events & HANGUP_EVENTS for _, events in poll.poll(0))
 
 
 class Line:
-    def __init__(self, place: Place, dial_s: float, buffers: Buffers, log: Callable[[str], None]) -> None:
+    """A connection to an engine. Logs its number of requests and a reason code when it is closed."""
+
+    def __init__(
+        self, place: Place, connect_timeout_s: float, buffers: Buffers, log: Callable[[str], None]
+    ) -> None:
         _, address = self.place = place
         self.host = f"{address[0]}:{address[1]}"
-        self.buffers, self.log, self.answers, self.calls = buffers, log, Answers(), 0
-        self.idle_us, self.due, self.failed = 0, False, False
-        self.ends: deque[tuple[GoodEnd, float]] = deque(maxlen=ENDS)  # each with the time at which it came
-        self.told_at = -inf
+        self.buffers = buffers
+        self.log = log
+        self.parser = ResponseParser()
+        self.requests = 0
+        self.idle_us = 0
+        self.response_pending = False
+        self.had_server_error = False
+        self.recent_results: deque[tuple[ResultFingerprint, float]] = deque(maxlen=RECENT_RESULTS)
+        self.last_control_response_s = -inf
         self.socket = socket.socket()
         try:
-            # By the address alone: create_connection would have a thread resolve it, at three times the cost.
-            self.socket.settimeout(dial_s)
+            # create_connection would resolve the numeric address in a thread, at three times the cost.
+            self.socket.settimeout(connect_timeout_s)
             self.socket.connect(address)
-        except TimeoutError as fault:
-            raise ConnectTimeoutError(fault, self) from fault
-        except OSError as fault:
-            self.close(f"undialled_{type(fault).__name__}")
-            # Whoever resets a dial is there: taken for one that is down, it would count as started anew.
-            if isinstance(fault, ConnectionResetError):
-                raise Unsent("ConnectionResetError") from fault
-            raise Unreachable(fault) from fault
+        except TimeoutError as error:
+            raise ConnectTimeoutError(error, self) from error
+        except OSError as error:
+            self.close(f"connect_failed_{type(error).__name__}")
+            # A peer that resets the connection is running; as ConnectFailedError it would count as restarted.
+            if isinstance(error, ConnectionResetError):
+                raise RequestNotSentError("ConnectionResetError") from error
+            raise ConnectFailedError(error) from error
         self._established()
 
     def _established(self) -> None:
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def came_up(self, timeout_s: float) -> bool:
-        """Wait for a connection that was not up in time; return whether it can be used now."""
+        """Wait for a connection that was not established in time; return whether it is usable."""
         try:
             wait_write(self.socket.fileno(), timeout=timeout_s, timeout_exc=TimeoutError())
-            self.socket.getpeername()  # fails where it was refused, reset, or never begun
+            self.socket.getpeername()  # fails if the connection was refused, reset, or never initiated
             self._established()
         except OSError:
             return False
         return True
 
-    def call(self, request: bytes, patience_s: float) -> tuple[int, dict[str, str], bytes]:
-        self.calls += 1
-        self.due = True
-        self.socket.settimeout(patience_s)
+    def call(self, request: bytes, timeout_s: float) -> tuple[int, dict[str, str], bytes]:
+        """Send a request and return its response as status, header fields and body."""
+        self.requests += 1
+        self.response_pending = True
+        self.socket.settimeout(timeout_s)
         try:
             self.socket.sendall(request)
-        except OSError as fault:
-            raise Unsent(type(fault).__name__) from fault
-        answer = self.answer()
-        self.failed |= answer[0] >= 500
-        if (end := warehouse.end(*answer)) is not None:
+        except OSError as error:
+            raise RequestNotSentError(type(error).__name__) from error
+        response = self.read_response()
+        self.had_server_error |= response[0] >= 500
+        if (fingerprint := warehouse.result_fingerprint(*response)) is not None:
             now = monotonic()
-            if any(end == earlier and now - at < COPIES_S for earlier, at in self.ends):
-                raise SuspectedCopyError(end)
-            self.ends.append((end, now))
-        return answer
-
-    def tell(self, request: bytes, patience_s: float) -> int:
-        """Make a call that asks for nothing; return the status of its answer. News and pages are no answer to
-        it, but what came late to an earlier call. A give-up that took them for its own would prove a query
-        over that goes on."""
-        answer = self.call(request, patience_s)
-        while answer[0] in NEWS:
-            self.due = True
-            answer = self.answer()
-        before, self.told_at = self.told_at, monotonic()
-        if self.told_at - before < COPIES_S:
-            raise Lost("copy")
-        return answer[0]
-
-    def answer(self) -> tuple[int, dict[str, str], bytes]:
-        """The answer that is due, or what is still missing of it."""
+            if any(
+                fingerprint == earlier and now - received_s < DUPLICATE_WINDOW_S
+                for earlier, received_s in self.recent_results
+            ):
+                raise SuspectedDuplicateError(fingerprint)
+            self.recent_results.append((fingerprint, now))
+        return response
+
+    def call_control(self, request: bytes, timeout_s: float) -> int:
+        """Send a cancel or priority request and return the status of its response.
+
+        Responses to polls and page requests are skipped: they belong to an earlier request. Taken for the
+        response to a cancel request, they would confirm the end of a query that still runs.
+        """
+        response = self.call(request, timeout_s)
+        while response[0] in POLL_STATUSES:
+            self.response_pending = True
+            response = self.read_response()
+        previous_s = self.last_control_response_s
+        self.last_control_response_s = monotonic()
+        if self.last_control_response_s - previous_s < DUPLICATE_WINDOW_S:
+            raise ConnectionLostError("duplicate")
+        return response[0]
+
+    def read_response(self) -> tuple[int, dict[str, str], bytes]:
+        """Read the pending response, or the rest of it."""
         try:
             with self.buffers.lent() as buffer:
-                while not self.answers.feed(self._receive(buffer)):
+                while not self.parser.feed(self._receive(buffer)):
                     pass
-            self.due = False
-            return self.answers.take()
-        except OSError as fault:
-            raise Lost(type(fault).__name__) from fault
-        except Unreadable as fault:
-            raise Lost(str(fault)) from fault
+            self.response_pending = False
+            return self.parser.take()
+        except OSError as error:
+            raise ConnectionLostError(type(error).__name__) from error
+        except MalformedResponseError as error:
+            raise ConnectionLostError(str(error)) from error
 
     def _receive(self, buffer: memoryview) -> memoryview:
         try:
             size = self.socket.recv_into(buffer)
         except TimeoutError:
-            # After a standstill of this gateway the timer comes before what has lain in the socket all along.
+            # After a stall of this process the timer fires before data that arrived in time is read.
             if self.fresh():
                 raise
             size = self.socket.recv_into(buffer)
         if not size:
-            raise Lost("closed")
+            raise ConnectionLostError("peer_closed")
         return buffer[:size]
 
     @property
     def parts(self) -> str | None:
-        """Why it is of no further use, if so. Failures are all alike: a copy of one would be taken for
-        another query's, and prove that over."""
-        return "failed" if self.failed else None if self.answers.keeps else "engine_closes"
+        """The reason code if the connection must not be reused, else None.
+
+        Error responses are all equal: a duplicate of one would be attributed to another query and confirm
+        the end of that.
+        """
+        return (
+            "server_error" if self.had_server_error else None if self.parser.keep_alive else "engine_closing"
+        )
 
     def fresh(self) -> bool:
-        """Idle, it is still usable."""
+        """Return whether the idle connection is still usable."""
         return quiet(self.socket)
 
     def close(self, code: str) -> None:
-        """With a call unanswered nothing of it may still come to the engine: behind a cut the system would
-        keep it, and a query could begin there long after it was given up."""
-        if self.due:
-            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, TORN)
+        """Close the connection and log the reason code.
+
+        With a response pending the connection is reset, so that nothing unsent reaches the engine: during a
+        network partition the system would keep it, and a query could start long after it was cancelled.
+        """
+        if self.response_pending:
+            self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self.socket.close()
-        self.log(f"engine {self.host} calls={self.calls} code={code}")
+        self.log(f"engine {self.host} requests={self.requests} code={code}")
--- a/pathturn/wire/lookup.py
+++ b/pathturn/wire/lookup.py
@@ -1,4 +1,4 @@
-"""Follows the directory by DNS over UDP."""
+"""Discovery client: queries the directory of engines by DNS over UDP."""
 
 from collections.abc import Callable
 
@@ -10,79 +10,103 @@
 from pathturn.memory.facade import Facade
 from pathturn.wire import directory
 
-# All that a datagram can hold: an engine takes some 90 to 110 bytes, so that the protocol's 8,000 hold about
-# 80 engines at most; of a list that is cut short nothing is heard, drains neither.
-LARGEST = 65_535
-# Well under the time after which the directory counts a change as told; an answer is small beside this. Each
-# question waits for its answer beside the next ones: a change counts as told once its answer was sent, and
-# one that was lost on the way must not hold up the next, nor must a directory that answers later than that.
-EVERY_S, PATIENCE_S = 0.25, 0.5
+# The largest datagram. An engine takes about 90 to 110 bytes, so the protocol's 8,000 would hold about 80
+# engines; a truncated list is discarded, and the drains in it would be missed.
+MAX_DATAGRAM_BYTES = 65_535
+# Well under the time after which the directory regards a change as delivered; responses are small in
+# comparison. Queries overlap: the directory regards a change as delivered once it has sent the response, so
+# neither a lost response nor a slow directory may delay the next query.
+QUERY_INTERVAL_S = 0.25
+RESPONSE_TIMEOUT_S = 0.5
 
 
 class Lookup:
+    """Keeps the facade's list of engines up to date from the directory."""
+
     def __init__(
-        self, facade: Facade, asks: bool, last: int, changed: Callable[[], None], log: Callable[[str], None]
+        self,
+        facade: Facade,
+        on_demand: bool,
+        last_serial: int,
+        changed: Callable[[], None],
+        log: Callable[[str], None],
     ) -> None:
-        self.facade, self.asks, self.changed, self.log = facade, asks, changed, log
-        self.last, self.number, self.raw = last, 0, b""
+        """With `on_demand` the directory is queried only while the dispatcher subscribes to the list."""
+        self.facade = facade
+        self.on_demand = on_demand
+        self.changed = changed
+        self.log = log
+        self.last_serial = last_serial
+        self.query_id = 0
+        self.last_response = b""  # without its query id
         self.following: gevent.Greenlet | None = None
-        self.asked, self.fault = Group(), ""
+        self.queries = Group()
+        self.last_error = ""
 
     def follow(self, address: tuple[str, int]) -> None:
-        """From now on this directory, asked at once and not after the old one's patience. Its events carry on
-        the old one's numbers, but the old one's last answer is no measure for its first."""
+        """Query the directory at this address from now on, without waiting for responses of the previous one.
+
+        Serials continue over a change of directories, but the previous one's last response must not be
+        compared with the first response of this one.
+        """
         self.stop()
-        self.raw = b""
-        self.following = gevent.spawn(self._follow, address)
+        self.last_response = b""
+        self.following = gevent.spawn(self._poll, address)
 
     def stop(self) -> None:
+        """Stop querying and abandon pending queries."""
         if self.following is not None:
             self.following.kill(block=False)
-        self.asked.kill(block=False)
+        self.queries.kill(block=False)
 
-    def _follow(self, address: tuple[str, int]) -> None:
-        """Where the list comes by itself it is asked for always, else while the module wants it."""
+    def _poll(self, address: tuple[str, int]) -> None:
         while True:
-            if self.asks:
+            if self.on_demand:
                 self.facade.follows_list.wait()
-            question = self.asked.spawn(self._ask, address)
-            if self.asks and not question.get():
+            query = self.queries.spawn(self._query, address)
+            if self.on_demand and not query.get():
                 self.facade.follows_list.clear()
                 self.facade.listing(names.LIST_UNAVAILABLE, [])
-            gevent.sleep(EVERY_S)
+            gevent.sleep(QUERY_INTERVAL_S)
 
-    def _ask(self, address: tuple[str, int]) -> bool:
-        self.number = number = (self.number + 1) % 65536
+    def _query(self, address: tuple[str, int]) -> bool:
+        """Send one query; return whether a valid response came in time."""
+        self.query_id = query_id = (self.query_id + 1) % 65536
         try:
-            # A socket for each question: a fault of one, or what still comes late to it, ends with it.
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as link, gevent.Timeout(PATIENCE_S):
-                link.connect(address)
-                link.send(directory.question(number))
-                while not self._hear(link.recv(LARGEST), number):
+            # One socket for each query, so that its errors and late responses cannot affect another.
+            with (
+                socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as connection,
+                gevent.Timeout(RESPONSE_TIMEOUT_S),
+            ):
+                connection.connect(address)
+                connection.send(directory.build_query(query_id))
+                while not self._handle_response(connection.recv(MAX_DATAGRAM_BYTES), query_id):
                     pass
-                self.fault = ""
+                self.last_error = ""
                 return True
         except gevent.Timeout:
             return False
-        except OSError as fault:
-            told, self.fault = self.fault, f"{type(fault).__name__} reason={fault.strerror}"
-            if self.fault != told:  # once, and not with each question while it lasts
-                self.log(f"directory code=unasked_{self.fault}")
+        except OSError as error:
+            previous_error = self.last_error
+            self.last_error = f"{type(error).__name__} reason={error.strerror}"
+            if self.last_error != previous_error:  # log a lasting error once, not for each query
+                self.log(f"discovery code=query_failed_{self.last_error}")
             return False
 
-    def _hear(self, packet: bytes, number: int) -> bool:
-        if packet[2:] == self.raw and packet[:2] == number.to_bytes(2, "big"):
+    def _handle_response(self, packet: bytes, query_id: int) -> bool:
+        """Pass a newer list on to the facade; return whether the response was valid."""
+        if packet[2:] == self.last_response and packet[:2] == query_id.to_bytes(2, "big"):
             return True
         try:
-            # An older list would bring back engines that have begun to drain.
-            serial, rows = directory.answer(packet, number, self.last)
-        except directory.Unreadable as fault:
-            self.log(f"directory bytes={len(packet)} code=unreadable reason={fault}")
+            # Lists with an older serial are not parsed: they would restore engines that are draining.
+            serial, rows = directory.parse_response(packet, query_id, self.last_serial)
+        except directory.MalformedResponseError as error:
+            self.log(f"discovery bytes={len(packet)} code=malformed_response reason={error}")
             return False
-        if rows is not None or serial == self.last:
-            self.raw = packet[2:]
+        if rows is not None or serial == self.last_serial:
+            self.last_response = packet[2:]
         if rows is not None:
-            self.last = serial
+            self.last_serial = serial
             self.facade.listing(names.LIST_SNAPSHOT, rows)
             self.changed()
         return True
--- a/pathturn/wire/proof.py
+++ b/pathturn/wire/proof.py
@@ -1,49 +1,53 @@
-"""What proves that an attempt which was given up runs no more. No sockets here."""
+"""Decides when a cancelled execution at an engine is confirmed to have ended. Does no I/O.
+
+An execution that may still run is unresolved; batches of the same ordering key wait until it is resolved.
+"""
 
 from enum import Enum
 
-from pathturn.wire.warehouse import FORGOTTEN_US, NEWS_US
+from pathturn.wire.warehouse import POLL_RESPONSE_US, UNPOLLED_LIFETIME_US
 
-# An engine answers each call within this time, so by then it has acted on whatever had reached it when it
-# answered a call on another connection.
-SETTLED_US = NEWS_US
-# An engine that can be reached ends a query that nobody asked for in so long.
-UNASKED_US = FORGOTTEN_US + NEWS_US
+# An engine answers each request within this time, so by then it has processed everything that had arrived
+# when it answered a request on another connection.
+SETTLE_US = POLL_RESPONSE_US
+# A reachable engine ends a query that is not polled within this time.
+UNPOLLED_END_US = UNPOLLED_LIFETIME_US + POLL_RESPONSE_US
 
 
-class GiveUpReply(Enum):
-    """What became of one call that gives an attempt up."""
+class CancelReply(Enum):
+    """The result of one cancel request."""
 
-    CONFIRMED = "confirmed"  # the engine says that it has given it up
-    REFUSED = "refused"  # it takes no new connection: it has died, drains, or bears no more
-    SILENT = "silent"  # no answer in time, or none that can be trusted
+    CONFIRMED = "confirmed"  # the engine accepted the cancellation
+    REFUSED = "refused"  # the engine accepts no new connection: it has exited, drains, or is at its limit
+    NO_REPLY = "no_reply"  # no response in time, or none that can be trusted
 
 
-class EndProof:
-    """Collects the replies to give-ups on other connections than the one that carried the attempt's start.
+class TerminationProof:
+    """Collects the replies to cancel requests on other connections than the one that carried the start.
 
-    Where the start was not answered one confirmation proves nothing: the start may lie unread in the engine,
-    or still be on its way, and be acted on after the give-up. Nor does a refusal, even where connections were
-    reset before: an engine that drains goes on with its queries, and the network resets connections too.
-    Silence proves nothing, and what was heard before it does not count: behind a cut a query was seen to
-    outlast its time."""
+    If the start was not acknowledged, a single confirmation proves nothing: the start may be unread in the
+    engine's socket or still in transit, and be processed after the cancellation. A refusal proves nothing
+    either, even if connections were reset before: a draining engine continues its queries, and the network
+    resets connections too. A missing reply proves nothing and discards the replies before it: during a
+    network partition a query has been seen to outlast its time limit.
+    """
 
-    def __init__(self, start_answered: bool, start_latest_us: int) -> None:
-        """Begin with whether the engine has answered the start or a call about it, and if not, with the time
-        until which the start may still reach it."""
-        self.start_answered = start_answered
-        self.start_latest_us = start_latest_us
-        self.heard: GiveUpReply | None = None
+    def __init__(self, start_acknowledged: bool, start_arrival_limit_us: int) -> None:
+        """`start_acknowledged` tells whether the engine has answered the start or a request about it; if
+        not, the start may still reach it until `start_arrival_limit_us`."""
+        self.start_acknowledged = start_acknowledged
+        self.start_arrival_limit_us = start_arrival_limit_us
+        self.last_reply: CancelReply | None = None
         self.since_us = 0
 
-    def hear(self, reply: GiveUpReply, now_us: int) -> bool:
-        """Return whether the attempt is proven over."""
-        if reply is not self.heard:
-            self.heard = reply
+    def record(self, reply: CancelReply, now_us: int) -> bool:
+        """Record a reply; return whether the execution is confirmed to have ended."""
+        if reply is not self.last_reply:
+            self.last_reply = reply
             self.since_us = now_us
-        if reply is GiveUpReply.SILENT:
+        if reply is CancelReply.NO_REPLY:
             return False
-        if reply is GiveUpReply.CONFIRMED and self.start_answered:
+        if reply is CancelReply.CONFIRMED and self.start_acknowledged:
             return True
-        wanted_us = SETTLED_US if reply is GiveUpReply.CONFIRMED else UNASKED_US
-        return now_us >= self.start_latest_us and now_us - self.since_us >= wanted_us
+        required_us = SETTLE_US if reply is CancelReply.CONFIRMED else UNPOLLED_END_US
+        return now_us >= self.start_arrival_limit_us and now_us - self.since_us >= required_us
--- a/pathturn/wire/warehouse.py
+++ b/pathturn/wire/warehouse.py
@@ -1,4 +1,4 @@
-"""The engines' calls and what their answers mean. No sockets here."""
+"""The engine protocol: encodes requests and interprets responses. Does no I/O."""
 
 import re
 from math import isfinite
@@ -7,11 +7,11 @@
 from zlib import crc32
 
 from pathturn.core import interface as names
-from pathturn.wire.http import LARGEST_BODY, Unreadable, call
+from pathturn.wire.http import MAX_BODY_BYTES, MalformedResponseError, build_request
 
-NOTES = {"done": names.NOTICE_PROGRESS, "spills": names.NOTICE_SPILLING, "waits": names.NOTICE_WAITING}
-# What a meter may call a load value that the settings name otherwise.
-METERS = {
+NOTICE_KINDS = {"done": names.NOTICE_PROGRESS, "spills": names.NOTICE_SPILLING, "waits": names.NOTICE_WAITING}
+# Other names under which an engine may report a load value of the settings.
+LOAD_VALUE_ALIASES = {
     "concurrent": "inflight",
     "depth": "queue",
     "load_share": "util",
@@ -19,56 +19,63 @@
     "tps": "qps",
     "err_ps": "eps",
 }
-# The protocol's figures: a query not asked for that long has ended; its news comes within the other.
-FORGOTTEN_US, NEWS_US = 2_000_000, 250_000
-LARGEST_RESULT = 48_000  # the protocol's figure
-# Pages hold whole rows: two that follow each other are more than one, else they would be one.
-MOST_PAGES = 2 * LARGEST_RESULT // LARGEST_BODY
+# Protocol limits: an engine ends a query that has not been polled for this long.
+UNPOLLED_LIFETIME_US = 2_000_000
+# Protocol limit: an engine answers a poll within this time.
+POLL_RESPONSE_US = 250_000
+MAX_RESULT_BYTES = 48_000  # protocol limit
+# Pages hold whole rows: two consecutive pages exceed the size of one, or they would be one page.
+MAX_PAGES = 2 * MAX_RESULT_BYTES // MAX_BODY_BYTES
 ROWS = re.compile(rb"(?:[^\x00-\x1f]*\t[^\x00-\x1f]*\t[^\x00-\x1f]*\n)*")
-LARGEST_NUMBER = 1e9  # a cost of some days, a need of a petabyte: beyond that it tells nothing
+# Milliseconds of cost (some days) or megabytes of memory (a petabyte); larger values are implausible.
+MAX_REPORTED_VALUE = 1e9
 STATUSES = frozenset({200, 202, 500, 503, 504})
-GIVEN_UP = 204  # the one answer that says that a give-up or a new priority was taken
+CONTROL_ACCEPTED = 204  # the only status that confirms a cancellation or a change of priority
 
 
-def start(
+def start_request(
     host: str,
     ticket: str,
     group: str,
-    wait_us: int,
+    timeout_us: int,
     nonce: str | None,
     grant_mb: float,
     priority: int,
     statement: bytes,
 ) -> bytes:
+    """Encode the request that starts a query."""
     fields = (
         ("X-Ticket", ticket),
         ("X-Queue", group),
-        ("X-Max-Ms", max(1, wait_us // 1000)),
+        ("X-Max-Ms", max(1, timeout_us // 1000)),
         ("X-Nonce", nonce),
         ("X-Memory-Mb", round(grant_mb) or None),
         ("X-Priority", priority),
     )
-    return call("POST", "/data", host, fields, statement)
+    return build_request("POST", "/data", host, fields, statement)
 
 
 def _path(ticket: str) -> str:
     return "/data/" + quote(ticket, safe="")
 
 
-def page(host: str, ticket: str, number: int) -> bytes:
-    """Page 0 is the news of the query."""
-    return call("GET", f"{_path(ticket)}/{number}", host)
+def page_request(host: str, ticket: str, number: int) -> bytes:
+    """Encode the request for a page of the result; page 0 polls the status of the query."""
+    return build_request("GET", f"{_path(ticket)}/{number}", host)
 
 
-def rank(host: str, ticket: str, priority: int) -> bytes:
-    return call("PUT", _path(ticket), host, body=str(priority).encode())
+def priority_request(host: str, ticket: str, priority: int) -> bytes:
+    """Encode the request that changes the priority of a query."""
+    return build_request("PUT", _path(ticket), host, body=str(priority).encode())
 
 
-def give_up(host: str, ticket: str) -> bytes:
-    return call("DELETE", _path(ticket), host)
+def cancel_request(host: str, ticket: str) -> bytes:
+    """Encode the request that cancels a query."""
+    return build_request("DELETE", _path(ticket), host)
 
 
 def outcome(status: int, fields: dict[str, str]) -> str:
+    """Return the outcome of a dispatch from the final response to its start or poll."""
     if status == 200:
         return names.RETURNED
     if fields.get("x-shed") == "1":
@@ -76,79 +83,93 @@
     return names.ERRORED
 
 
-def note(fields: dict[str, str]) -> tuple[int, float] | None:
-    sort = NOTES.get(fields.get("x-remark", ""))
-    return None if sort is None else (sort, number(fields, "x-value"))
+def notice(fields: dict[str, str]) -> tuple[int, float] | None:
+    """Return the kind and value of the engine's notice on a running query, None if there is none."""
+    kind = NOTICE_KINDS.get(fields.get("x-remark", ""))
+    return None if kind is None else (kind, numeric_field(fields, "x-value"))
 
 
-def news(status: int, fields: dict[str, str], body: bytes) -> int:
-    """The number of pages where the answer is a good end. Raises where it cannot be what the engine said."""
+def page_count(status: int, fields: dict[str, str], body: bytes) -> int:
+    """Return the number of pages of a successful result, 0 for any other response.
+
+    Raise MalformedResponseError if an engine cannot have sent this response.
+    """
     if status not in STATUSES:
-        raise Unreadable("status")
+        raise MalformedResponseError("unexpected_status")
     if status != 200:
         return 0
     pages = fields.get("x-pages", "")
-    if not pages.isdecimal() or not 1 <= int(pages) <= MOST_PAGES or (int(pages) > 1 and not body):
-        raise Unreadable("pages")
+    if not pages.isdecimal() or not 1 <= int(pages) <= MAX_PAGES or (int(pages) > 1 and not body):
+        raise MalformedResponseError("page_count")
     check_rows(body)
     return int(pages)
 
 
-class GoodEnd(NamedTuple):
-    """What tells a good end from any other. Of the rows only a checksum, as connections are many."""
+class ResultFingerprint(NamedTuple):
+    """Identifies a successful result. Holds only a checksum of the rows, as there are many connections."""
 
     pages: str
     cost: str | None
-    rest: object
-    size: int
+    other_fields: object
+    body_bytes: int
     checksum: int
 
 
-def end(status: int, fields: dict[str, str], body: bytes) -> GoodEnd | None:
-    """Return what tells a good end from any other, None for what is none: where it says what the query took,
-    load reports do not count, as an engine that says it again has another by then."""
+def result_fingerprint(status: int, fields: dict[str, str], body: bytes) -> ResultFingerprint | None:
+    """Return the fingerprint of a successful result, None for any other response.
+
+    Where the cost of the query is reported, load reports are left out: an engine that repeats a result
+    reports another load by then.
+    """
     if status != 200 or "x-pages" not in fields:
         return None
     cost = fields.get("x-cost-ms")
-    rest = fields.get("x-needed-mb") if cost is not None else tuple(sorted(fields.items()))
-    return GoodEnd(fields["x-pages"], cost, rest, len(body), crc32(body))
+    other_fields = fields.get("x-needed-mb") if cost is not None else tuple(sorted(fields.items()))
+    return ResultFingerprint(fields["x-pages"], cost, other_fields, len(body), crc32(body))
+
 
+def is_page(number: int, status: int, fields: dict[str, str], body: bytes) -> bool:
+    """Return whether the response is that page, False if the engine has lost it.
 
-def further(number: int, status: int, fields: dict[str, str], body: bytes) -> bool:
-    """Whether this is that page; False where the engine has lost it."""
+    Raise MalformedResponseError for any other response.
+    """
     if status == 500:
         return False
     if status != 200 or fields.get("x-page") != str(number) or not body:
-        raise Unreadable("page")
+        raise MalformedResponseError("wrong_page")
     check_rows(body)
     return True
 
 
 def check_rows(body: bytes) -> None:
-    """Rows that no engine made must not reach a client: a cut or spoilt page is told by its form."""
+    """Raise MalformedResponseError if the rows are truncated or corrupted, so that they reach no client."""
     try:
-        whole = ROWS.fullmatch(body) is not None and body.decode() is not None
+        valid = ROWS.fullmatch(body) is not None and body.decode() is not None
     except UnicodeDecodeError:
-        whole = False
-    if not whole:
-        raise Unreadable("rows")
+        valid = False
+    if not valid:
+        raise MalformedResponseError("invalid_rows")
 
 
-def number(fields: dict[str, str], name: str) -> float:
-    """0 where it is none, or none that the module's averages could stand."""
-    return _sound(fields.get(name, "0")) or 0.0
+def numeric_field(fields: dict[str, str], name: str) -> float:
+    """Return a numeric header field; 0 if it is missing, not a number, or out of the range that the
+    dispatcher's averages can hold."""
+    return _plausible_number(fields.get(name, "0")) or 0.0
 
 
-def _sound(text: str) -> float | None:
+def _plausible_number(text: str) -> float | None:
     try:
         value = float(text)
     except ValueError:
         return None
-    return value if isfinite(value) and 0 <= value <= LARGEST_NUMBER else None
+    return value if isfinite(value) and 0 <= value <= MAX_REPORTED_VALUE else None
 
 
-def meter(fields: dict[str, str], wanted: list[str]) -> list[float] | None:
-    """The load values in the order in which the settings name them; one missing voids the report."""
-    told = dict(part.split(":", 1) for part in fields.get("x-meter", "").split(";") if ":" in part)
-    values = [_sound(told.get(name, told.get(METERS.get(name, ""), ""))) for name in wanted]
-    return None if not told or None in values else values
+def load_report(fields: dict[str, str], wanted: list[str]) -> list[float] | None:
+    """Return the load values in the order of the settings, None if one of them is missing."""
+    reported = dict(part.split(":", 1) for part in fields.get("x-meter", "").split(";") if ":" in part)
+    values = [
+        _plausible_number(reported.get(name, reported.get(LOAD_VALUE_ALIASES.get(name, ""), "")))
+        for name in wanted
+    ]
+    return None if not reported or None in values else values
--- a/tests/test_attempt_proof.py
+++ b/tests/test_attempt_proof.py
@@ -13,7 +13,7 @@
 from gevent.server import StreamServer
 from test_close_range import Late, until
 
-from pathturn.wire.proof import EndProof, GiveUpReply
+from pathturn.wire.proof import CancelReply, TerminationProof
 
 LATE_START_S = 1.5
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
@@ -216,7 +216,7 @@
     rig.apart("load")
 
 
-CONFIRMED, REFUSED, SILENT = GiveUpReply.CONFIRMED, GiveUpReply.REFUSED, GiveUpReply.SILENT
+CONFIRMED, REFUSED, NO_REPLY = CancelReply.CONFIRMED, CancelReply.REFUSED, CancelReply.NO_REPLY
 LATEST_US = 1_000_000
 
 
@@ -224,11 +224,11 @@
     ("answered", "replies", "proven_at"),
     [
         pytest.param(True, [(CONFIRMED, 10)], 10, id="start answered, confirmed"),
-        pytest.param(True, [(SILENT, 10), (SILENT, 9000)], None, id="silence"),
+        pytest.param(True, [(NO_REPLY, 10), (NO_REPLY, 9000)], None, id="silence"),
         pytest.param(True, [(REFUSED, 10), (REFUSED, 2259)], None, id="refused, not for long enough"),
         pytest.param(True, [(REFUSED, 10), (REFUSED, 2260)], 2260, id="refused for long enough"),
         pytest.param(
-            True, [(REFUSED, 10), (SILENT, 1000), (REFUSED, 2300)], None, id="refused, out of reach between"
+            True, [(REFUSED, 10), (NO_REPLY, 1000), (REFUSED, 2300)], None, id="refused, out of reach between"
         ),
         pytest.param(False, [(CONFIRMED, 2000)], None, id="start not answered, confirmed once"),
         pytest.param(False, [(CONFIRMED, 2000), (CONFIRMED, 2249)], None, id="confirmed twice, too soon"),
@@ -238,12 +238,12 @@
         ),
         pytest.param(False, [(CONFIRMED, 10), (CONFIRMED, 1000)], 1000, id="confirmed once it cannot come"),
         pytest.param(
-            False, [(CONFIRMED, 2000), (SILENT, 2100), (CONFIRMED, 2300)], None, id="silent between"
+            False, [(CONFIRMED, 2000), (NO_REPLY, 2100), (CONFIRMED, 2300)], None, id="silent between"
         ),
         pytest.param(False, [(CONFIRMED, 2000), (REFUSED, 2250)], None, id="confirmed, then refused"),
     ],
 )
 def test_proof_of_an_end(answered, replies, proven_at) -> None:
-    proof = EndProof(answered, 0 if answered else LATEST_US)
-    heard = [(proof.hear(reply, at_ms * 1000), at_ms) for reply, at_ms in replies]
+    proof = TerminationProof(answered, 0 if answered else LATEST_US)
+    heard = [(proof.record(reply, at_ms * 1000), at_ms) for reply, at_ms in replies]
     assert [at_ms for proven, at_ms in heard if proven] == ([] if proven_at is None else [proven_at])
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -23,7 +23,7 @@
 from pathturn.process.settings import build
 from pathturn.standins import farm
 from pathturn.wire import jsonrpc
-from pathturn.wire.lookup import EVERY_S
+from pathturn.wire.lookup import QUERY_INTERVAL_S
 
 HEARD_S = 0.1  # by the protocol nothing begins later than that after its client left
 CALLED_BACK_S = 0.3  # the protocol's figure for what waited; here with a word each way to the engine
@@ -430,7 +430,7 @@
             assert caller.ends["look"]["returned"] == 20
             site.silent = False
             site.change("e", "draining")
-            gevent.sleep(4 * EVERY_S)
+            gevent.sleep(4 * QUERY_INTERVAL_S)
             seen = len(site.engines["e"].posts())
             late = site.caller()
             for _ in range(20):
@@ -525,7 +525,7 @@
     rig.change("e", "draining")
     until(lambda: lost)
     heard = until(lambda: len(rig.gateway.facade.roster.ready) == 1)
-    assert heard - lost[0] < EVERY_S + CALLED_BACK_S
+    assert heard - lost[0] < QUERY_INTERVAL_S + CALLED_BACK_S
 
 
 def test_a_directory_that_answers_later_than_it_is_asked_is_heard(rig, monkeypatch) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -31,7 +31,7 @@
 from pathturn.standins.farm import at
 from pathturn.wire import directory, jsonrpc, warehouse
 from pathturn.wire.clients import Session
-from pathturn.wire.http import Answers, Unreadable
+from pathturn.wire.http import MalformedResponseError, ResponseParser
 from pathturn.wire.statement import data_set
 
 
@@ -64,12 +64,12 @@
 
 
 def test_answers_are_read_one_after_another_and_tell_whether_the_connection_stays() -> None:
-    answers = Answers()
+    answers = ResponseParser()
     first = b"HTTP/1.1 202 Later\r\nX-Remark: waits\r\nX-Value: 2\r\nContent-Length: 0\r\n\r\n"
     assert not answers.feed(memoryview(first[:30]))
     assert answers.feed(memoryview(first[30:]))
     status, fields, body = answers.take()
-    assert (status, body, warehouse.note(fields), answers.keeps) == (
+    assert (status, body, warehouse.notice(fields), answers.keep_alive) == (
         202,
         b"",
         (names.NOTICE_WAITING, 2.0),
@@ -81,11 +81,14 @@
     )
     assert answers.feed(memoryview(last))
     _, fields, body = answers.take()
-    assert body == b"a\n" and not answers.keeps
-    assert warehouse.meter(fields, ["concurrent", "depth"]) == [7, 1.5]
-    assert warehouse.meter(fields, ["concurrent", "x0"]) is None
+    assert body == b"a\n" and not answers.keep_alive
+    assert warehouse.load_report(fields, ["concurrent", "depth"]) == [7, 1.5]
+    assert warehouse.load_report(fields, ["concurrent", "x0"]) is None
     # Seen on a day: the settings' own names. Read as none, every load report was lost.
-    assert warehouse.meter({"x-meter": "depth:0;concurrent:4.015"}, ["depth", "concurrent"]) == [0, 4.015]
+    assert warehouse.load_report({"x-meter": "depth:0;concurrent:4.015"}, ["depth", "concurrent"]) == [
+        0,
+        4.015,
+    ]
 
 
 @pytest.mark.parametrize("kind", SPOILT)
@@ -133,11 +136,11 @@
 
 
 def test_an_answer_said_to_be_huge_takes_no_memory() -> None:
-    answers = Answers()
-    with pytest.raises(Unreadable):
+    answers = ResponseParser()
+    with pytest.raises(MalformedResponseError):
         answers.feed(memoryview(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"))
-    endless = Answers()
-    with pytest.raises(Unreadable):
+    endless = ResponseParser()
+    with pytest.raises(MalformedResponseError):
         for _ in range(10):
             assert not endless.feed(memoryview(b"HTTP/1.1 200 OK\r\nX-Pages: " + b"1" * 4000))
 
@@ -182,8 +185,8 @@
     [b"", b"\0\1", b"\0\1" + bytes(10), b"\0\1" + b"\xc0\x0c" * 99, b"\0\1\x84\0" + bytes(range(1, 200))],
 )
 def test_no_datagram_ends_the_following_of_the_list(packet: bytes) -> None:
-    with pytest.raises(directory.Unreadable):
-        directory.answer(packet, 1)
+    with pytest.raises(directory.MalformedResponseError):
+        directory.parse_response(packet, 1)
 
 
 def packed(count: int, *, serial: int = 9, texts: dict[int, list[bytes]] | None = None) -> bytes:
@@ -213,17 +216,17 @@
 
 
 def test_a_list_of_hundreds_is_read_whole_and_only_when_it_is_newer() -> None:
-    serial, rows = directory.answer(packed(640), 1)
+    serial, rows = directory.parse_response(packed(640), 1)
     assert (serial, len(rows), len(packed(640)) <= 65_507) == (9, 640, True)
     assert rows[513] == ("s-000201", ("127.9.2.1", 8443), "East", "std", 2, names.DRAINING, 4.0, 5)
-    assert directory.answer(packed(640), 1, last=9) == (9, None)
+    assert directory.parse_response(packed(640), 1, last_serial=9) == (9, None)
 
 
 def test_own_reader_finds_what_a_dns_library_finds() -> None:
-    record = DNSRecord.parse(directory.question(1))
-    assert (str(record.q.qname), record.q.qtype) == (directory.NAME + ".", QTYPE.SRV)
+    record = DNSRecord.parse(directory.build_query(1))
+    assert (str(record.q.qname), record.q.qtype) == (directory.SERVICE_NAME + ".", QTYPE.SRV)
     reply = DNSRecord.parse(packed(40))
-    _, rows = directory.answer(packed(40), 1)
+    _, rows = directory.parse_response(packed(40), 1)
     assert [row[1][0] for row in rows] == [str(each.rdata) for each in reply.ar if each.rtype == QTYPE.A]
     assert [row[0] for row in rows] == [str(each.rdata.target).split(".")[0] for each in reply.rr]
 
@@ -233,11 +236,11 @@
     packet = bytearray(packed(40))
     packet[place % len(packet)] = byte
     for each in (bytes(packet), packed(40)[:cut]):
-        with contextlib.suppress(directory.Unreadable):
-            directory.answer(each, 1)
+        with contextlib.suppress(directory.MalformedResponseError):
+            directory.parse_response(each, 1)
     if cut < len(packed(40)):
-        with pytest.raises(directory.Unreadable):
-            directory.answer(packed(40)[:cut], 1)
+        with pytest.raises(directory.MalformedResponseError):
+            directory.parse_response(packed(40)[:cut], 1)
 
 
 @pytest.mark.parametrize(
@@ -251,15 +254,15 @@
     ],
 )
 def test_one_engine_told_badly_spoils_the_list(told: list[bytes]) -> None:
-    with pytest.raises(directory.Unreadable):
-        directory.answer(packed(3, texts={1: told}), 1)
+    with pytest.raises(directory.MalformedResponseError):
+        directory.parse_response(packed(3, texts={1: told}), 1)
 
 
 def test_pointers_that_lead_on_and_on_are_refused() -> None:
     chain = b"".join(struct.pack("!H", 0xC000 | 12 + 2 * max(0, each - 1)) for each in range(6000))
     head = struct.pack("!6H", 1, 0x8180, 0, 1, 0, 0)
-    with pytest.raises(directory.Unreadable):
-        directory.answer(head + struct.pack("!HHHIH", 0xC00C, 33, 1, 5, len(chain)) + chain, 1)
+    with pytest.raises(directory.MalformedResponseError):
+        directory.parse_response(head + struct.pack("!HHHIH", 0xC00C, 33, 1, 5, len(chain)) + chain, 1)
 
 
 def test_a_gateway_takes_a_list_of_hundreds_and_tells_of_one_it_cannot_read(rig, monkeypatch, capfd) -> None:
@@ -278,7 +281,7 @@
             break
         gevent.sleep(0.01)
     assert len(rig.gateway.facade.roster.place) == 600
-    assert "code=unreadable reason=KeyError" in capfd.readouterr().err
+    assert "code=malformed_response reason=KeyError" in capfd.readouterr().err
 
 
 def test_log_counts_what_it_leaves_out(capsys, monkeypatch) -> None:
