--- a/tests/test_engine_edges.py
+++ b/tests/test_engine_edges.py
@@ -1,6 +1,6 @@
-"""The gateway's side toward engines at single instants: what comes behind an answer, answers that break off,
-the window for repeats, connections that come up late or are ended early. Each instant is forced; the judge is
-what the engines were asked and what the client was answered."""
+"""Race conditions between the gateway and engines: data after a response, incomplete responses, the window
+for retries, connections established late or closed early. Each race is forced, and verified by the requests
+that the engines received and the answers of the client."""
 
 import gc
 import socket as plain
@@ -20,38 +20,39 @@
 from pathturn.core import interface as names
 from pathturn.wire.line import Line, quiet
 
-RESET = struct.pack("ii", 1, 0)
-HALVES = {
-    "half_line": b"HTTP/1.1 2",
-    "status": b"HTTP/1.1 200 ",
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+PARTIAL_RESPONSES = {
+    "status_line": b"HTTP/1.1 2",
+    "reason": b"HTTP/1.1 200 ",
     "field_name": b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nX-Cost",
     "field_value": b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nX-Cost-Ms: ",
     "body": b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nContent-Length: 6\r\n\r\na\tb",
-    # Of an answer that no connection used again can have brought before.
+    # Error statuses: a connection that received one is not reused, so these are no duplicates.
     "failed": b"HTTP/1.1 500 ",
     "full": b"HTTP/1.1 503 full\r\nX-Shed: 1\r\nX-Value: ",
 }
-SPAN_S, PATIENCE_MS = 1.0, 4000
+RETRY_WINDOW_S = 1.0
+PATIENCE_MS = 4000
 
 
 @pytest.fixture
 def rig(rig):
-    """With time to spare in each group: a busy machine may stand still for a second."""
+    """Extends the time limit of each service group: processes on a busy machine may stall for a second."""
     for entry in rig.settings["classes"]:
         entry["deadlineUs"] = max(entry["deadlineUs"], 7_000_000)
     rig.call = partial(rig.call, patience=PATIENCE_MS)
     return rig
 
 
-def reset(link) -> None:
+def reset(connection) -> None:
     with suppress(OSError):
-        link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-    link.close()
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+    connection.close()
 
 
-def written(status, fields, body) -> bytes:
+def encode_response(status, fields, body) -> bytes:
     head = [
-        f"HTTP/1.1 {status} said",
+        f"HTTP/1.1 {status} Reason",
         *(f"{name}: {value}" for name, value in fields),
         f"Content-Length: {len(body)}",
         "",
@@ -60,186 +61,215 @@
     return "\r\n".join(head).encode() + body
 
 
-def idle_lines(rig) -> list[Line]:
-    return [line for waiting in rig.gateway.pools.idle.values() for line in waiting]
+def idle_connections(rig) -> list[Line]:
+    return [connection for idle in rig.gateway.pools.idle.values() for connection in idle]
 
 
-def posts(rig) -> int:
+def count_starts(rig) -> int:
     return sum(len(engine.posts()) for engine in rig.engines.values())
 
 
-# Point 1: half an answer behind a whole one.
+# A partial response after a complete one.
 
 
-class Behind:
-    """An engine that remembers the connection of its last answer, and sends `more` in one segment with each
-    answer that `picks` chooses."""
+class AppendsData:
+    """Makes an engine append `data` in the same segment to each response that `selects` chooses. Records the
+    connection of the last response."""
 
-    def __init__(self, engine, more: bytes = b"", picks=lambda status, fields: True) -> None:
-        self.more, self.picks, self.link = more, picks, None
+    def __init__(self, engine, data: bytes = b"", selects=lambda status, fields: True) -> None:
+        self.data = data
+        self.selects = selects
+        self.connection = None
         engine.answer = self.answer
 
-    def answer(self, link, status, fields=(), body=b""):
-        self.link = link
-        more = self.more if self.picks(status, dict(fields)) else b""
-        link.sendall(written(status, fields, body) + more)
+    def answer(self, connection, status, fields=(), body=b""):
+        self.connection = connection
+        data = self.data if self.selects(status, dict(fields)) else b""
+        connection.sendall(encode_response(status, fields, body) + data)
 
 
-@pytest.mark.parametrize("half", HALVES)
+@pytest.mark.parametrize("partial_response", PARTIAL_RESPONSES)
 @pytest.mark.parametrize("pages", [1, 3])
-def test_half_an_answer_in_the_segment_of_a_whole_one_spoils_nothing(rig, half, pages) -> None:
+def test_a_partial_response_in_the_segment_of_a_complete_one_has_no_effect(
+    rig, partial_response, pages
+) -> None:
     rig.engine("e", f"rows:{pages}", "rows:2")
-    Behind(rig.engines["e"], HALVES[half])
+    AppendsData(rig.engines["e"], PARTIAL_RESPONSES[partial_response])
     rig.start()
-    for number, wanted in ((1, pages), (2, 2)):
+    for number, expected in ((1, pages), (2, 2)):
         rig.call(number, "pay")
-        rig.returned(number, wanted)
-        assert idle_lines(rig) == []
-    assert posts(rig) == 2
+        rig.returned(number, expected)
+        assert idle_connections(rig) == []
+    assert count_starts(rig) == 2
     rig.idle()
 
 
-@pytest.mark.parametrize("half", HALVES)
-def test_half_an_answer_in_the_segment_of_not_yet_spoils_nothing(rig, half) -> None:
+@pytest.mark.parametrize("partial_response", PARTIAL_RESPONSES)
+def test_a_partial_response_in_the_segment_of_a_poll_response_has_no_effect(rig, partial_response) -> None:
     rig.engine("e", "runs:120", "rows:2")
-    Behind(rig.engines["e"], HALVES[half], lambda status, fields: status == 202)
+    AppendsData(rig.engines["e"], PARTIAL_RESPONSES[partial_response], lambda status, fields: status == 202)
     rig.start()
-    for number, wanted in ((1, 1), (2, 2)):
+    for number, expected in ((1, 1), (2, 2)):
         rig.call(number, "pay")
-        rig.returned(number, wanted)
-    assert posts(rig) == 2
+        rig.returned(number, expected)
+    assert count_starts(rig) == 2
     rig.idle()
 
 
-@pytest.mark.parametrize("half", HALVES)
-def test_half_an_answer_on_an_idle_connection_is_found_when_it_is_borrowed(rig, half) -> None:
+@pytest.mark.parametrize("partial_response", PARTIAL_RESPONSES)
+def test_a_partial_response_on_an_idle_connection_is_noticed_when_it_is_acquired(
+    rig, partial_response
+) -> None:
     rig.engine("e", "rows:1", "rows:2")
-    behind = Behind(rig.engines["e"])
+    appends = AppendsData(rig.engines["e"])
     rig.start()
     rig.call(1, "pay")
     rig.returned(1)
-    (line,) = idle_lines(rig)
-    behind.link.sendall(HALVES[half])
-    until(lambda: not line.fresh())
+    (connection,) = idle_connections(rig)
+    appends.connection.sendall(PARTIAL_RESPONSES[partial_response])
+    until(lambda: not connection.fresh())
     rig.call(2, "pay")
     rig.returned(2, 2)
-    assert line.socket.closed and posts(rig) == 2
-    rig.asked("e", "GET", 1)  # page 1 of the second; nothing was asked for twice
+    assert connection.socket.closed and count_starts(rig) == 2
+    rig.asked("e", "GET", 1)  # page 1 of the second; no request was repeated
     rig.idle()
 
 
-def crossing(monkeypatch, line: Line, cross) -> None:
-    """Calls `cross` once, after the look at an idle connection and before the next call's bytes, which wait
-    until what it sends is there."""
-    fresh, crossed = Line.fresh, []
+def interleave(monkeypatch, connection: Line, action) -> None:
+    """Run `action` once, between the check of the idle connection and the next request, which waits until the
+    effect of the action has arrived."""
+    fresh = Line.fresh
+    done = []
 
-    def looked(self):
-        found = fresh(self)
-        if found and self is line and not crossed:
-            crossed.append(True)
-            cross()
+    def check_then_act(self):
+        usable = fresh(self)
+        if usable and self is connection and not done:
+            done.append(True)
+            action()
             until(lambda: not quiet(self.socket))
-        return found
+        return usable
 
-    monkeypatch.setattr(Line, "fresh", looked)
+    monkeypatch.setattr(Line, "fresh", check_then_act)
 
 
 @pytest.mark.parametrize("word", ["rows:2", "runs:120"])
-@pytest.mark.parametrize("half", HALVES)
-def test_half_an_answer_that_crosses_the_next_start_is_not_taken_for_its_answer(
-    rig, monkeypatch, half, word
+@pytest.mark.parametrize("partial_response", PARTIAL_RESPONSES)
+def test_a_partial_response_that_crosses_the_next_start_is_not_taken_for_its_response(
+    rig, monkeypatch, partial_response, word
 ) -> None:
-    """It comes after the look at the connection, and is glued to the answer that follows."""
+    """It arrives after the check of the connection, directly before the response that follows."""
     rig.engine("e", "rows:1", word)
-    behind = Behind(rig.engines["e"])
+    appends = AppendsData(rig.engines["e"])
     rig.start()
     rig.call(1, "pay")
     rig.returned(1)
-    (line,) = idle_lines(rig)
-    crossing(monkeypatch, line, lambda: behind.link.sendall(HALVES[half]))
+    (connection,) = idle_connections(rig)
+    interleave(
+        monkeypatch, connection, lambda: appends.connection.sendall(PARTIAL_RESPONSES[partial_response])
+    )
     rig.call(2, "pay")
     rig.returned(2, 2 if word == "rows:2" else 1)
-    assert posts(rig) == 2
+    assert count_starts(rig) == 2
     rig.idle()
 
 
-# Point 2: answers that break off, never end, or come twice.
+# Responses that are truncated, never end, or arrive duplicate_after_delay.
 
 
-def cut_head(link, whole):
-    link.sendall(whole[:25])
-    link.close()
+def partial_head_then_close(connection, response):
+    connection.sendall(response[:25])
+    connection.close()
 
 
-def torn_head(link, whole):
-    link.sendall(whole[:25])
-    reset(link)
+def partial_head_then_reset(connection, response):
+    connection.sendall(response[:25])
+    reset(connection)
 
 
-def cut_body(link, whole):
-    link.sendall(whole[:-3])
-    link.close()
+def partial_body_then_close(connection, response):
+    connection.sendall(response[:-3])
+    connection.close()
 
 
-def torn_body(link, whole):
-    link.sendall(whole[:-3])
-    reset(link)
+def partial_body_then_reset(connection, response):
+    connection.sendall(response[:-3])
+    reset(connection)
 
 
-def silent_head(link, whole):
-    link.sendall(whole[:25])
+def partial_head_then_silence(connection, response):
+    connection.sendall(response[:25])
 
 
-def silent_body(link, whole):
-    link.sendall(whole[:-3])
+def partial_body_then_silence(connection, response):
+    connection.sendall(response[:-3])
 
 
-def endless(link, whole):
-    head, _, _ = whole.partition(b"\r\n\r\n")
+def endless_header(connection, response):
+    head, _, _ = response.partition(b"\r\n\r\n")
     with suppress(OSError):
-        link.sendall(head + b"\r\nX-More: " + b"1" * 200_000)
+        connection.sendall(head + b"\r\nX-More: " + b"1" * 200_000)
 
 
-def twice(link, whole):
+def duplicate_after_delay(connection, response):
     def again():
         with suppress(OSError):
-            link.sendall(whole)
+            connection.sendall(response)
 
-    link.sendall(whole)
+    connection.sendall(response)
     gevent.spawn_later(0.005, again)
 
 
-def twice_with_next(link, whole):
-    """The copy comes with the next call's answer, just before it: `Breaking` sends it."""
-    link.sendall(whole)
-
-
-BREAKS = [cut_head, torn_head, cut_body, torn_body, silent_head, silent_body, endless, twice, twice_with_next]
-NEWS_BREAKS = [cut_head, torn_head, silent_head, endless]  # `not yet` has no body
-
-
-class Breaking:
-    """An engine that spoils the first answer of those that `picks` chooses, or every one of them."""
-
-    def __init__(self, engine, how, picks, always: bool = False) -> None:
-        self.how, self.picks, self.always, self.spoilt, self.copies = how, picks, always, 0, {}
-        self.whole, engine.answer = engine.answer, self.answer
+def duplicate_before_next_response(connection, response):
+    """`FaultyResponses` sends the duplicate immediately before the response to the next request."""
+    connection.sendall(response)
+
+
+FAULTS = [
+    partial_head_then_close,
+    partial_head_then_reset,
+    partial_body_then_close,
+    partial_body_then_reset,
+    partial_head_then_silence,
+    partial_body_then_silence,
+    endless_header,
+    duplicate_after_delay,
+    duplicate_before_next_response,
+]
+POLL_FAULTS = [
+    partial_head_then_close,
+    partial_head_then_reset,
+    partial_head_then_silence,
+    endless_header,
+]  # the response to a poll has no body
+
+
+class FaultyResponses:
+    """Makes an engine send a faulty response instead of the first one that `selects` chooses, or of all."""
+
+    def __init__(self, engine, fault, selects, always: bool = False) -> None:
+        self.fault = fault
+        self.selects = selects
+        self.always = always
+        self.faults = 0
+        self.duplicates = {}
+        self.correct_answer = engine.answer
+        engine.answer = self.answer
 
-    def answer(self, link, status, fields=(), body=b""):
-        if (copy := self.copies.pop(link, None)) is not None:
-            link.sendall(copy)
+    def answer(self, connection, status, fields=(), body=b""):
+        if (duplicate := self.duplicates.pop(connection, None)) is not None:
+            connection.sendall(duplicate)
             gevent.sleep(0.01)
-        if (self.spoilt and not self.always) or not self.picks(status, dict(fields)):
-            with suppress(OSError):  # a gateway that was sent a copy may have ended it
-                self.whole(link, status, fields, body)
+        if (self.faults and not self.always) or not self.selects(status, dict(fields)):
+            with suppress(OSError):  # a gateway that received a duplicate may have closed the connection
+                self.correct_answer(connection, status, fields, body)
             return
-        self.spoilt += 1
-        if self.how is twice_with_next:
-            self.copies[link] = written(status, fields, body)
-        self.how(link, written(status, fields, body))
+        self.faults += 1
+        if self.fault is duplicate_before_next_response:
+            self.duplicates[connection] = encode_response(status, fields, body)
+        self.fault(connection, encode_response(status, fields, body))
 
 
-def is_end(status, fields) -> bool:
+def is_result(status, fields) -> bool:
     return status == 200 and "X-Pages" in fields
 
 
@@ -247,280 +277,290 @@
     return status == 200 and fields.get("X-Page") == str(number)
 
 
-def is_not_yet(status, fields) -> bool:
+def is_running(status, fields) -> bool:
     return status == 202
 
 
 @pytest.mark.parametrize("group", ["pay", "load"])
 @pytest.mark.parametrize(
-    "picks", [is_end, partial(is_page, 1), partial(is_page, 2)], ids=["end", "page", "last_page"]
+    "selects", [is_result, partial(is_page, 1), partial(is_page, 2)], ids=["result", "page", "last_page"]
 )
-@pytest.mark.parametrize("how", BREAKS)
-def test_an_answer_that_breaks_off_is_asked_for_again_and_started_once(rig, how, picks, group) -> None:
+@pytest.mark.parametrize("fault", FAULTS)
+def test_a_faulty_response_is_requested_again_and_the_query_started_once(rig, fault, selects, group) -> None:
     rig.engine("e", "rows:3", "rows:2")
-    breaking = Breaking(rig.engines["e"], how, picks)
+    faulty = FaultyResponses(rig.engines["e"], fault, selects)
     rig.start()
     rig.call(1, group)
     rig.returned(1, 3)
-    gevent.sleep(0.01)  # a second copy is there by now
+    gevent.sleep(0.01)  # the duplicate has arrived by now
     rig.call(2, group)
     rig.returned(2, 2)
-    assert breaking.spoilt == 1 and posts(rig) == 2
+    assert faulty.faults == 1 and count_starts(rig) == 2
     rig.idle()
 
 
 @pytest.mark.parametrize("group", ["load", "book"])
-@pytest.mark.parametrize("how", NEWS_BREAKS)
-def test_while_news_that_broke_off_is_asked_for_again_the_next_of_the_key_waits(rig, how, group) -> None:
-    """The query goes on all the while."""
+@pytest.mark.parametrize("fault", POLL_FAULTS)
+def test_the_next_batch_of_a_key_waits_while_a_faulty_poll_response_is_requested_again(
+    rig, fault, group
+) -> None:
+    """The query runs all the time."""
     rig.set("rules.keyQuietUs", "20000")
     rig.engine("e", "runs:700", "rows:2")
     rig.engine("f", "runs:700", "rows:2")
-    breaking = {name: Breaking(engine, how, is_not_yet) for name, engine in rig.engines.items()}
+    faulty = {name: FaultyResponses(engine, fault, is_running) for name, engine in rig.engines.items()}
     rig.start()
     rig.call(1, group, key="k")
-    until(lambda: posts(rig))
+    until(lambda: count_starts(rig))
     rig.call(2, group, key="k")
     first = next(name for name, engine in rig.engines.items() if engine.posts())
     rig.returned(1)
-    assert breaking[first].spoilt == 1
+    assert faulty[first].faults == 1
     until(lambda: 2 in rig.answers)
     rig.answered(2)
-    assert posts(rig) == 2
+    assert count_starts(rig) == 2
     rig.apart(group)
     rig.idle()
 
 
 @pytest.mark.parametrize("group", ["load", "book"])
-def test_after_news_that_always_breaks_off_the_next_of_the_key_waits_for_the_proof(rig, group) -> None:
-    """Its query goes on; the answer to the give-up is held."""
+def test_the_next_batch_of_a_key_waits_for_the_confirmation_after_faulty_poll_responses(rig, group) -> None:
+    """The query still runs, and the response to the cancel request is held."""
     rig.set("rules.keyQuietUs", "20000")
     rig.set("limits.maxAttempts", "1")
     rig.engine("e", "runs:9000", "rows:2")
-    engine, hold = rig.engines["e"], Event()
-    Breaking(engine, cut_head, is_not_yet, always=True)
+    engine = rig.engines["e"]
+    release = Event()
+    FaultyResponses(engine, partial_head_then_close, is_running, always=True)
     answer = engine.answer
 
-    def late(link, status, fields=(), body=b""):
+    def hold_cancel_response(connection, status, fields=(), body=b""):
         if status == 204:
-            hold.wait()
+            release.wait()
         with suppress(OSError):
-            answer(link, status, fields, body)
+            answer(connection, status, fields, body)
 
-    engine.answer = late
+    engine.answer = hold_cancel_response
     rig.start()
     rig.call(1, group, key="k")
-    until(lambda: posts(rig))
+    until(lambda: count_starts(rig))
     rig.call(2, group, key="k")
     until(lambda: any(each[0] == "DELETE" for each in engine.asked))
     (rig.pushed_back if group == "load" else rig.errored)(1)
     gevent.sleep(0.2)
-    assert posts(rig) == 1
-    hold.set()
+    assert count_starts(rig) == 1
+    release.set()
     rig.returned(2, 2)
-    assert posts(rig) == 2
+    assert count_starts(rig) == 2
     rig.idle()
 
 
 @pytest.mark.parametrize(
     ("end", "group"), [(reset, "pay"), (reset, "load"), (reset, "book"), (socket.socket.close, "book")]
 )
-def test_a_connection_that_ends_a_second_into_the_query_costs_neither_rows_nor_a_second_start(
+def test_a_connection_closed_a_second_into_the_query_costs_neither_rows_nor_a_second_start(
     rig, end, group
 ) -> None:
     rig.engine("e", "runs:1300", "rows:2")
-    engine, ended = rig.engines["e"], []
+    engine = rig.engines["e"]
+    closed = []
     news = engine.news
 
-    def ends_late(link, ticket):
+    def close_after_a_second(connection, ticket):
         word, since = engine.queries[ticket]
-        if word == "runs:1300" and monotonic() - since >= 1.0 and not ended:
-            ended.append(ticket)
-            end(link)
+        if word == "runs:1300" and monotonic() - since >= 1.0 and not closed:
+            closed.append(ticket)
+            end(connection)
             return
-        news(link, ticket)
+        news(connection, ticket)
 
-    engine.news = ends_late
+    engine.news = close_after_a_second
     rig.start()
     rig.call(1, group, key="k")
     until(lambda: engine.posted)
     if group != "pay":
         rig.call(2, group, key="k")
     rig.returned(1)
-    assert ended == [f"{1:016x}"]
+    assert closed == [f"{1:016x}"]
     if group == "pay":
-        assert posts(rig) == 1
+        assert count_starts(rig) == 1
     else:
         rig.returned(2, 2)
         rig.apart(group)
-        assert posts(rig) == 2
+        assert count_starts(rig) == 2
     rig.idle()
 
 
-# Point 3: a repeat begins inside the window in which the engines drop it.
+# Retries start only within the window in which engines deduplicate them.
 
 
-class Repeats:
-    """Two engines that reset the first start, which may have run, and a way to the second attempt's engine
-    that is held before `name` of `owner` until `go`."""
+class RetriedBatch:
+    """Two engines that reset the first start, which may have run; records the outcomes of all dispatches."""
 
     def __init__(self, rig, scope: str) -> None:
-        self.rig, self.outcomes, self.second = rig, [], None
+        self.rig = rig
+        self.outcomes = []
         rig.set("limits.dialTimeoutUs", "1000000")
-        rig.settings["classes"][2] |= {"memorySpanUs": int(SPAN_S * 1e6), "group": scope}
+        rig.settings["classes"][2] |= {"memorySpanUs": int(RETRY_WINDOW_S * 1e6), "group": scope}
         rig.engine("e")
         rig.engine("f")
-        # Shared: whichever is asked first resets, the other one would serve the second attempt.
+        # Shared: whichever gets the first start resets it, the other one would serve the retry.
         rig.engines["e"].words = rig.engines["f"].words = ["reset", "rows:2"]
         rig.start()
-        self.report, rig.gateway.facade.report = rig.gateway.facade.report, self.reported
+        self.report = rig.gateway.facade.report
+        rig.gateway.facade.report = self.record_outcome
 
-    def reported(self, dispatch, outcome, *told):
+    def record_outcome(self, dispatch, outcome, *details):
         self.outcomes.append(outcome)
-        self.report(dispatch, outcome, *told)
+        self.report(dispatch, outcome, *details)
 
-    def elsewhere(self, address) -> bool:
-        """Whether that is the engine that has not been asked yet."""
-        asked = {engine.server.address for engine in self.rig.engines.values() if engine.posted}
-        return bool(asked) and address not in asked
+    def is_retry_engine(self, address) -> bool:
+        """Return whether another engine has received the first start, and this one none."""
+        started = {engine.server.address for engine in self.rig.engines.values() if engine.posted}
+        return bool(started) and address not in started
 
-    def began(self) -> float:
+    def started_at(self) -> float:
         return min(at for engine in self.rig.engines.values() for at in engine.posted)
 
 
-def hold_dial(repeats, monkeypatch) -> Held:
-    """The second attempt's connection comes up late."""
+def hold_connect(batch, monkeypatch) -> Held:
+    """The connection for the retry is established late."""
     held = Held(lambda: None)
 
-    class Slow(socket.socket):
+    class HeldConnect(socket.socket):
         def connect(self, address):
-            if repeats.elsewhere(address):
+            if batch.is_retry_engine(address):
                 held()
             super().connect(address)
 
-    monkeypatch.setattr("pathturn.wire.line.socket.socket", Slow)
+    monkeypatch.setattr("pathturn.wire.line.socket.socket", HeldConnect)
     return held
 
 
-def hold_room(repeats, monkeypatch) -> Held:
-    """No connection is free for the second attempt."""
-    pools, held = repeats.rig.gateway.pools, Held(lambda: None)
+def hold_slot(batch, monkeypatch) -> Held:
+    """The connection limit is reached when the retry is sent."""
+    pools = batch.rig.gateway.pools
+    held = Held(lambda: None)
     borrow = pools.borrow
 
-    def late(place, new=False):
-        if repeats.elsewhere(place[1]):
+    def held_borrow(place, new=False):
+        if batch.is_retry_engine(place[1]):
             held()
         return borrow(place, new)
 
-    monkeypatch.setattr(pools, "borrow", late)
+    monkeypatch.setattr(pools, "borrow", held_borrow)
     return held
 
 
-def hold_process(repeats, monkeypatch) -> Held:
-    """The whole process stands still, by which time the window is over."""
-    pools, held = repeats.rig.gateway.pools, Held(lambda: None)
+def stall_process(batch, monkeypatch) -> Held:
+    """The whole process stalls until the window is over."""
+    pools = batch.rig.gateway.pools
+    held = Held(lambda: None)
     borrow = pools.borrow
 
-    def late(place, new=False):
-        if repeats.elsewhere(place[1]) and not held.came.is_set():
+    def held_borrow(place, new=False):
+        if batch.is_retry_engine(place[1]) and not held.came.is_set():
             held.came.set()
-            time.sleep(max(0, repeats.began() + 1.05 * SPAN_S - monotonic()))
+            time.sleep(max(0, batch.started_at() + 1.05 * RETRY_WINDOW_S - monotonic()))
         return borrow(place, new)
 
-    monkeypatch.setattr(pools, "borrow", late)
+    monkeypatch.setattr(pools, "borrow", held_borrow)
     return held
 
 
 @pytest.mark.parametrize(("scope", "end"), [("all", "pushed_back"), ("cell", "errored")])
-@pytest.mark.parametrize("hold", [hold_dial, hold_room, hold_process])
-def test_a_repeat_whose_connection_is_there_after_the_window_is_not_sent(
+@pytest.mark.parametrize("hold", [hold_connect, hold_slot, stall_process])
+def test_a_retry_whose_connection_is_available_after_the_window_is_not_sent(
     rig, monkeypatch, hold, scope, end
 ) -> None:
-    """Decided in time, it would run a second time: the engines no longer know the first."""
-    repeats = Repeats(rig, scope)
-    held = hold(repeats, monkeypatch)
+    """Decided within the window, it would run a second time: the engines have forgotten the first start."""
+    batch = RetriedBatch(rig, scope)
+    held = hold(batch, monkeypatch)
     rig.call(1, "load")
-    with gevent.Timeout(0.9 * SPAN_S, AssertionError("no second attempt was decided")):
+    with gevent.Timeout(0.9 * RETRY_WINDOW_S, AssertionError("no retry was decided")):
         held.came.wait()
-    gevent.sleep(max(0, repeats.began() + 1.05 * SPAN_S - monotonic()))
+    gevent.sleep(max(0, batch.started_at() + 1.05 * RETRY_WINDOW_S - monotonic()))
     held.go.set()
     rig.answered(1)
-    assert begun_after(rig, repeats.began(), SPAN_S) == 0, "a repeat began after the window"
-    assert posts(rig) == 1
-    assert repeats.outcomes[0] == names.RESET and set(repeats.outcomes[1:]) <= names.NEVER_RAN
+    assert begun_after(rig, batch.started_at(), RETRY_WINDOW_S) == 0, "a retry started after the window"
+    assert count_starts(rig) == 1
+    assert batch.outcomes[0] == names.RESET and set(batch.outcomes[1:]) <= names.NEVER_RAN
     getattr(rig, end)(1)
     rig.idle()
 
 
-@pytest.mark.parametrize("hold", [hold_dial, hold_room])
-def test_a_repeat_whose_connection_is_there_within_the_window_is_sent(rig, monkeypatch, hold) -> None:
-    repeats = Repeats(rig, "all")
-    held = hold(repeats, monkeypatch)
+@pytest.mark.parametrize("hold", [hold_connect, hold_slot])
+def test_a_retry_whose_connection_is_available_within_the_window_is_sent(rig, monkeypatch, hold) -> None:
+    batch = RetriedBatch(rig, "all")
+    held = hold(batch, monkeypatch)
     rig.call(1, "load")
-    with gevent.Timeout(0.5 * SPAN_S, AssertionError("no second attempt was decided")):
+    with gevent.Timeout(0.5 * RETRY_WINDOW_S, AssertionError("no retry was decided")):
         held.came.wait()
     held.go.set()
     rig.returned(1, 2)
-    assert posts(rig) == 2 and begun_after(rig, repeats.began(), SPAN_S) == 0
-    assert repeats.outcomes == [names.RESET, names.RETURNED]
+    assert count_starts(rig) == 2 and begun_after(rig, batch.started_at(), RETRY_WINDOW_S) == 0
+    assert batch.outcomes == [names.RESET, names.RETURNED]
     rig.idle()
 
 
-# Point 4: small calls go out at once.
+# Small requests are sent without delay.
 
 
-def test_a_connection_to_an_engine_does_not_hold_back_small_writes(rig, monkeypatch) -> None:
+def test_connections_to_engines_set_tcp_nodelay(rig, monkeypatch) -> None:
     rig.engine("e", "rows:3")
-    found, place = [], rig.engines["e"].server.address
+    options = []
+    address = rig.engines["e"].server.address
 
-    class Watched(socket.socket):
-        def sendall(self, *told):
+    class RecordsNodelay(socket.socket):
+        def sendall(self, *arguments):
             with suppress(OSError):
-                if self.getpeername() == place:
-                    found.append(self.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
-            return super().sendall(*told)
+                if self.getpeername() == address:
+                    options.append(self.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
+            return super().sendall(*arguments)
 
-    monkeypatch.setattr("pathturn.wire.line.socket.socket", Watched)
+    monkeypatch.setattr("pathturn.wire.line.socket.socket", RecordsNodelay)
     rig.start()
     rig.call(1, "pay")
     rig.returned(1, 3)
-    assert len(found) == 3 and all(found)
+    assert len(options) == 3 and all(options)
 
 
-# Point 5: connections that come up slowly.
+# Connections that are established slowly.
 
 
-class Crowded:
-    """A listener in an engine's place whose queue is full: who dials gets no sign, and tries again by its
-    system after a second. From `room` on connections come up, and `came` counts them."""
+class FullBacklog:
+    """A listener at an engine's address whose backlog is full: connecting peers get no reply, and their
+    kernel retransmits after a second. From `make_room` on connections are established."""
 
     def __init__(self) -> None:
-        self.server, self.address, self.came, self.heard = self, None, 0, b""
+        self.server = self
+        self.address = None
         self.listener = plain.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(0)
         self.listener.setblocking(False)
-        self.address, self.crowd = self.listener.getsockname(), []
-        while not self.crowd or self.is_up(self.crowd[-1]):
-            self.crowd.append(plain.socket())
-            self.crowd[-1].setblocking(False)
-            self.crowd[-1].connect_ex(self.address)
+        self.address = self.listener.getsockname()
+        self.fillers = []
+        while not self.fillers or self.is_established(self.fillers[-1]):
+            self.fillers.append(plain.socket())
+            self.fillers[-1].setblocking(False)
+            self.fillers[-1].connect_ex(self.address)
             gevent.sleep(0.02)
-        self.crowd.pop().close()  # the one that found no place
+        self.fillers.pop().close()  # the one beyond the backlog
 
-    def is_up(self, link) -> bool:
+    def is_established(self, connection) -> bool:
         try:
-            link.getpeername()
+            connection.getpeername()
         except OSError:
             return False
         return True
 
-    def room(self) -> None:
-        """Takes what waited; the crowd's own connections are not counted."""
-        for each in self.accepted():
-            each.close()
-        for each in self.crowd:
-            each.close()
+    def make_room(self) -> None:
+        """Accept and close the connections that fill the backlog."""
+        for connection in self.accepted():
+            connection.close()
+        for connection in self.fillers:
+            connection.close()
 
     def accepted(self) -> list[plain.socket]:
         found = []
@@ -530,13 +570,13 @@
         return found
 
     def stop(self, timeout=None) -> None:
-        for each in (self.listener, *self.crowd):
-            each.close()
+        for connection in (self.listener, *self.fillers):
+            connection.close()
 
 
 @contextmanager
-def no_collector():
-    """A descriptor that only the garbage collector would close counts as one that is left open."""
+def no_garbage_collection():
+    """Disable garbage collection, so that a descriptor which only it would close counts as leaked."""
     gc.collect()
     gc.disable()
     try:
@@ -545,166 +585,175 @@
         gc.enable()
 
 
-def test_one_connection_that_comes_up_after_more_than_a_second_is_kept_and_its_requests_go_elsewhere(
+def test_one_connection_established_after_more_than_a_second_is_kept_and_its_batches_go_elsewhere(
     rig,
 ) -> None:
-    """The pool has it for the next attempt; of the others that were late none is left open."""
+    """The pool keeps it for the next dispatch; no other pending connection is left open."""
     rig.set("limits.dialTimeoutUs", "250000")
     rig.engine("e")
     rig.engine("f")
-    crowded = rig.straits["e"] = Crowded()
+    full_backlog = rig.straits["e"] = FullBacklog()
     rig.start()
-    outcomes, report = [], rig.gateway.facade.report
-    rig.gateway.facade.report = lambda dispatch, outcome, *told: (
+    outcomes = []
+    report = rig.gateway.facade.report
+    rig.gateway.facade.report = lambda dispatch, outcome, *details: (
         outcomes.append(outcome),
-        report(dispatch, outcome, *told),
+        report(dispatch, outcome, *details),
     )
     gevent.sleep(0.05)
-    with no_collector():
-        before, began = descriptors(), monotonic()
-        # More than one, so that one of them is sent to the crowded engine first.
+    with no_garbage_collection():
+        before = descriptors()
+        began = monotonic()
+        # More than one, so that at least one is first sent to the engine with the full backlog.
         for number in range(1, 5):
             rig.call(number, "pay")
         for number in range(1, 5):
             rig.returned(number)
-        assert outcomes.count(names.UNREACHABLE) >= 1, "none was sent to the crowded engine"
-        crowded.room()
+        assert outcomes.count(names.UNREACHABLE) >= 1, "none was sent to the engine with the full backlog"
+        full_backlog.make_room()
         gevent.sleep(max(0, began + 1.5 - monotonic()))
-        late = crowded.accepted()
-        kept = [line for line in idle_lines(rig) if line.place[1] == crowded.address]
-        assert len(late) == len(kept) == 1, "one is kept, and no other left behind"
-        until(lambda: descriptors() <= before - len(crowded.crowd) + len(idle_lines(rig)) * 2)
-        late[0].close()
+        accepted = full_backlog.accepted()
+        kept = [
+            connection for connection in idle_connections(rig) if connection.place[1] == full_backlog.address
+        ]
+        assert len(accepted) == len(kept) == 1, "one is kept, and no other left open"
+        until(lambda: descriptors() <= before - len(full_backlog.fillers) + len(idle_connections(rig)) * 2)
+        accepted[0].close()
     assert set(outcomes) == {names.UNREACHABLE, names.RETURNED}
-    assert outcomes.count(names.RETURNED) == 4 and posts(rig) == 4
+    assert outcomes.count(names.RETURNED) == 4 and count_starts(rig) == 4
     rig.idle()
 
 
-@pytest.mark.parametrize("way", ["abort", "time"])
-def test_a_request_that_ends_while_its_dial_waits_leaves_no_descriptor(rig, way) -> None:
+@pytest.mark.parametrize("cause", ["abort", "time"])
+def test_a_batch_that_ends_while_its_connection_is_pending_leaks_no_descriptor(rig, cause) -> None:
     rig.set("limits.dialTimeoutUs", "1500000")
     rig.engine("e")
-    crowded = rig.straits["e"] = Crowded()
+    full_backlog = rig.straits["e"] = FullBacklog()
     rig.start()
     gevent.sleep(0.05)
-    with no_collector():
+    with no_garbage_collection():
         before = descriptors()
         for number in range(1, 6):
-            rig.call(number, "pay", patience=PATIENCE_MS if way == "abort" else 300)
+            rig.call(number, "pay", patience=PATIENCE_MS if cause == "abort" else 300)
         until(lambda: descriptors() == before + 5)
         for number in range(1, 6):
-            if way == "abort":
+            if cause == "abort":
                 rig.abort(number)
             else:
                 rig.pushed_back(number)
         until(lambda: descriptors() == before, 1)
         rig.idle()
-    crowded.room()
+    full_backlog.make_room()
     gevent.sleep(0.1)
-    assert crowded.accepted() == [] and posts(rig) == 0
+    assert full_backlog.accepted() == [] and count_starts(rig) == 0
 
 
-# Point 6: connections that an engine ends early.
+# Connections that an engine closes early.
 
 
-class Doorkeeper:
-    """A way to an engine that keeps its connections, so that they can be ended from here; from `unread` on it
-    resets the next call's connection without reading it."""
+class RecordingProxy:
+    """A proxy before an engine that records its connections, so that a test can close them; with
+    `reset_next_request` it resets the connection of the next request without reading that."""
 
-    def __init__(self, behind) -> None:
-        self.behind, self.links, self.unread, self.dropped = behind, [], False, 0
-        self.server = StreamServer(("127.0.0.1", 0), self.carry)
+    def __init__(self, engine_address) -> None:
+        self.engine_address = engine_address
+        self.connections = []
+        self.reset_next_request = False
+        self.resets = 0
+        self.server = StreamServer(("127.0.0.1", 0), self.relay)
         self.server.start()
 
-    def carry(self, link, peer):
-        self.links.append(link)
-        with socket.create_connection(self.behind) as beyond, suppress(OSError):
-            back = gevent.spawn(self.pump, beyond, link)
+    def relay(self, connection, peer):
+        self.connections.append(connection)
+        with socket.create_connection(self.engine_address) as engine_side, suppress(OSError):
+            to_gateway = gevent.spawn(self.forward, engine_side, connection)
             while True:
-                link.recv(1, socket.MSG_PEEK)
-                if self.unread:
-                    self.unread, self.dropped = False, self.dropped + 1
-                    reset(link)
+                connection.recv(1, socket.MSG_PEEK)
+                if self.reset_next_request:
+                    self.reset_next_request = False
+                    self.resets += 1
+                    reset(connection)
                     break
-                if not (piece := link.recv(65_536)):
+                if not (data := connection.recv(65_536)):
                     break
-                beyond.sendall(piece)
-            back.kill()
+                engine_side.sendall(data)
+            to_gateway.kill()
 
-    def pump(self, source, sink):
+    def forward(self, source, sink):
         with suppress(OSError):
-            while piece := source.recv(65_536):
-                sink.sendall(piece)
+            while data := source.recv(65_536):
+                sink.sendall(data)
 
 
-def hang_up(link) -> None:
-    """Ends it in the usual way at once, also where another greenlet waits on it."""
-    link.shutdown(socket.SHUT_RDWR)
+def shut_down(connection) -> None:
+    """Close the connection in the usual way at once, even if another greenlet waits on it."""
+    connection.shutdown(socket.SHUT_RDWR)
 
 
 @pytest.fixture
-def kept(rig):
-    """An engine behind a doorkeeper, and one connection to it that lies idle after a whole answer."""
+def proxied_rig(rig):
+    """An engine behind a proxy, and one connection to it that is idle after a complete response."""
     rig.engine("e", "rows:1", "rows:2")
-    door = rig.straits["e"] = Doorkeeper(rig.engines["e"].server.address)
+    proxy = rig.straits["e"] = RecordingProxy(rig.engines["e"].server.address)
     rig.start()
     rig.call(1, "pay")
     rig.returned(1)
-    until(lambda: idle_lines(rig))
-    (rig.line,) = idle_lines(rig)
-    return rig, door
+    until(lambda: idle_connections(rig))
+    (rig.idle_connection,) = idle_connections(rig)
+    return rig, proxy
 
 
 @pytest.mark.parametrize("group", ["pay", "load", "look"])
-@pytest.mark.parametrize("end", [hang_up, reset])
-def test_a_connection_that_is_ended_while_idle_is_found_when_it_is_borrowed(kept, end, group) -> None:
-    rig, door = kept
-    end(door.links[0])
-    until(lambda: not rig.line.fresh())
+@pytest.mark.parametrize("end", [shut_down, reset])
+def test_a_connection_closed_while_idle_is_noticed_when_it_is_acquired(proxied_rig, end, group) -> None:
+    rig, proxy = proxied_rig
+    end(proxy.connections[0])
+    until(lambda: not rig.idle_connection.fresh())
     rig.call(2, group)
     rig.returned(2, 2)
-    assert rig.line.socket.closed and posts(rig) == 2 and len(door.links) == 2
+    assert rig.idle_connection.socket.closed and count_starts(rig) == 2 and len(proxy.connections) == 2
     rig.idle()
 
 
 @pytest.mark.parametrize("group", ["pay", "load"])
-def test_a_connection_that_is_reset_just_before_the_start_is_written_proves_it_unsent(
-    kept, monkeypatch, group
+def test_a_connection_reset_just_before_the_start_is_sent_shows_that_it_was_not_sent(
+    proxied_rig, monkeypatch, group
 ) -> None:
-    """The reset is there before the first byte: nothing went out, and the request is started once."""
-    rig, door = kept
-    crossing(monkeypatch, rig.line, lambda: reset(door.links[0]))
+    """The reset arrives before the first byte: nothing was sent, and the query is started once."""
+    rig, proxy = proxied_rig
+    interleave(monkeypatch, rig.idle_connection, lambda: reset(proxy.connections[0]))
     rig.call(2, group)
     rig.returned(2, 2)
-    assert posts(rig) == 2
+    assert count_starts(rig) == 2
     rig.idle()
 
 
 @pytest.mark.parametrize(("group", "times"), [("pay", 1), ("book", 1), ("look", 2), ("load", 2)])
-def test_a_connection_that_is_closed_just_before_the_start_is_written_proves_nothing(
-    kept, monkeypatch, group, times
+def test_a_query_is_started_again_only_where_harmless_if_its_connection_closes_before_the_start(
+    proxied_rig, monkeypatch, group, times
 ) -> None:
-    """The start goes out whole, into a connection that its engine has ended: it may have been read. Started
-    again only where that is harmless."""
-    rig, door = kept
-    crossing(monkeypatch, rig.line, lambda: hang_up(door.links[0]))
+    """The start is sent completely over a connection that the engine has closed: it may have been read."""
+    rig, proxy = proxied_rig
+    interleave(monkeypatch, rig.idle_connection, lambda: shut_down(proxy.connections[0]))
     rig.call(2, group)
     if times == 2:
         rig.returned(2, 2)
     else:
         rig.errored(2)
-    assert posts(rig) == times
+    assert count_starts(rig) == times
     rig.idle()
 
 
 @pytest.mark.parametrize(("group", "times"), [("pay", 1), ("book", 1), ("look", 2), ("load", 2)])
-def test_a_connection_that_is_reset_over_a_start_not_read_proves_nothing(kept, group, times) -> None:
-    rig, door = kept
-    door.unread = True
+def test_a_query_is_started_again_only_where_harmless_if_its_connection_is_reset_after_the_start(
+    proxied_rig, group, times
+) -> None:
+    rig, proxy = proxied_rig
+    proxy.reset_next_request = True
     rig.call(2, group)
     if times == 2:
         rig.returned(2, 2)
     else:
         rig.errored(2)
-    assert door.dropped == 1 and posts(rig) == times
+    assert proxy.resets == 1 and count_starts(rig) == times
     rig.idle()
--- a/tests/test_equal_answers.py
+++ b/tests/test_equal_answers.py
@@ -1,8 +1,7 @@
-"""Engines that give the same rows at the same cost twice in a row, as for a cached dashboard or `SELECT 1`.
-By what it says such an answer cannot be told from a late second copy of the one before it on its connection.
-
-As found each one was taken for a copy, and each request paid a new connection and a second call (`lost_copy`
-in the log for each)."""
+"""Engines that give identical results in succession, the same rows at the same cost, as for a cached
+dashboard or `SELECT 1`. Such a response cannot be distinguished from a late duplicate of the previous one on
+its connection: if each were suspected, each batch would cost a new connection and a second request (logged
+as `lost_duplicate`)."""
 
 from base64 import b64decode
 from time import monotonic
@@ -12,13 +11,13 @@
 
 ENGINES = ("e", "f", "g", "h")
 RATE = 40
-# Copies were seen up to 0.7 s late; a second after a connection's last answer nothing on it can be one.
+# Duplicates have been seen up to 0.7 s late; a second after a connection's last response none is expected.
 WARM_UP_S = 2.0
 MEASURED_S = 2.0
 
 
-def answer_alike(engine) -> None:
-    """Let an engine name the same cost for each query, so that all its good ends are equal."""
+def report_same_cost(engine) -> None:
+    """Let an engine report the same cost for each query, so that all its results are identical."""
     answer = engine.answer
 
     def same_cost(link, status, fields=(), body=b"") -> None:
@@ -28,24 +27,24 @@
 
 
 class ConnectionCount:
-    """Counts connections to engines as they are made."""
+    """Counts the connections that are opened to engines."""
 
     def __init__(self, pools) -> None:
-        self.made = 0
+        self.opened = 0
         self.connect = pools.dial
         pools.dial = self.dial
 
     def dial(self, *told):
-        self.made += 1
+        self.opened += 1
         return self.connect(*told)
 
 
-def calls_of(rig) -> int:
+def requests_of(rig) -> int:
     return sum(len(engine.asked) for engine in rig.engines.values())
 
 
 def steady_traffic(rig, first: int, seconds: float) -> int:
-    """Write requests at a steady rate; return the number of the next one."""
+    """Send batches at a steady rate; return the number of the next one."""
     end = monotonic() + seconds
     while monotonic() < end:
         rig.call(first, "look")
@@ -55,40 +54,42 @@
     return first
 
 
-def test_equal_answers_cost_neither_connections_nor_calls(rig) -> None:
+def test_identical_responses_cost_neither_connections_nor_requests(rig) -> None:
     for name in ENGINES:
         rig.engine(name, "rows:1")
-        answer_alike(rig.engines[name])
+        report_same_cost(rig.engines[name])
     rig.start()
     connections = ConnectionCount(rig.gateway.pools)
     first = steady_traffic(rig, 1, WARM_UP_S)
-    made, calls = connections.made, calls_of(rig)
-    following = steady_traffic(rig, first, MEASURED_S)
-    for number in range(1, following):
+    opened = connections.opened
+    requests = requests_of(rig)
+    next_number = steady_traffic(rig, first, MEASURED_S)
+    for number in range(1, next_number):
         rig.returned(number)
     print(
-        f"{following - first} requests, {connections.made - made} connections, {calls_of(rig) - calls} calls"
+        f"{next_number - first} batches, {connections.opened - opened} connections, "
+        f"{requests_of(rig) - requests} requests"
     )
-    assert calls_of(rig) - calls == following - first
-    assert connections.made == made
+    assert requests_of(rig) - requests == next_number - first
+    assert connections.opened == opened
 
 
-def test_the_first_equal_answers_are_checked_once_and_their_connections_used_again(rig) -> None:
+def test_the_first_identical_responses_are_verified_once_and_their_connections_reused(rig) -> None:
     rig.engine("e", "rows:1")
-    answer_alike(rig.engines["e"])
+    report_same_cost(rig.engines["e"])
     rig.start()
     connections = ConnectionCount(rig.gateway.pools)
     for number in range(1, 11):
         rig.call(number, "look")
         rig.returned(number)
-    assert len(rig.gateway.pools.idle[next(iter(rig.gateway.pools.idle))]) == connections.made
+    assert len(rig.gateway.pools.idle[next(iter(rig.gateway.pools.idle))]) == connections.opened
 
 
-def test_a_second_copy_ends_no_other_request_where_answers_are_known_to_be_equal(rig) -> None:
-    """The engine has given equal answers, and each was checked; then it sends one twice."""
+def test_a_duplicate_response_ends_no_other_batch_where_identical_responses_are_known(rig) -> None:
+    """The engine has given identical responses, each of which was verified; then it sends one twice."""
     rig.engine("e", "rows:1")
     engine = rig.engines["e"]
-    answer_alike(engine)
+    report_same_cost(engine)
     rig.start()
     for number in range(1, 6):
         rig.call(number, "look")
@@ -100,8 +101,8 @@
     assert [rows(rig, number) for number in range(6, 10)] == [own_rows(number) for number in range(6, 10)]
 
 
-def test_the_rows_of_a_statement_that_is_answered_alike_are_its_own(rig) -> None:
-    """An engine whose answers all cost the same, but differ in their rows, pays nothing."""
+def test_responses_of_equal_cost_and_different_rows_are_not_suspected(rig) -> None:
+    """An engine whose results have the same cost and different rows needs no more connections or requests."""
     rig.engine("e", "rows:1")
     engine = rig.engines["e"]
     engine.news = lambda link, ticket: engine.answer(
@@ -112,4 +113,4 @@
     for number in range(1, 31):
         rig.call(number, "look")
         assert b64decode(rig.answered(number)["result"]["data"]) == own_rows(number)
-    assert connections.made <= 1 and len(engine.asked) == 30
+    assert connections.opened <= 1 and len(engine.asked) == 30
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -1,4 +1,5 @@
-"""Connections to engines that come up late: what the gateway concludes, and what becomes of the request."""
+"""Connections to engines that are not established in time: what the gateway concludes, and what becomes of
+the batch and of the connection."""
 
 from base64 import b64encode
 
@@ -13,7 +14,7 @@
 from pathturn.wire.line import ConnectTimeoutError
 
 WARMING_UP = {"coldFrom": "0.33", "coldUs": "14000000", "fallMultiple": "3.0", "fallUs": "1000000"}
-# More work than one of six gateways may send, within the rule's time, to an engine that is warming up.
+# More work than one of six gateways may send within the slow start's period to an engine that warms up.
 LARGE_WORK_MS = 4000
 # Longer than an engine is ejected after a connection failed.
 EJECTED_S = 1.5
@@ -21,7 +22,7 @@
 
 @pytest.fixture
 def one_engine_of_six_gateways(rig):
-    """One engine that serves at once, and settings under which engines that start anew are warmed up."""
+    """One engine that serves at once, and settings under which restarted engines get a slow start."""
     for name, value in WARMING_UP.items():
         rig.set(f"rules.{name}", value)
     rig.settings["siblings"] = 6
@@ -30,19 +31,19 @@
 
 
 def first_connect_fails(rig, monkeypatch, error: type[OSError]) -> list[tuple[str, int]]:
-    """Fail the first connection to an engine with this error; return the list of failed addresses."""
+    """Fail the first connection to an engine with this error; return the list of addresses that failed."""
     engine_addresses = [engine.server.address for engine in rig.engines.values()]
-    failed = []
+    failed_addresses = []
 
     class FirstConnectFails(socket.socket):
         def connect(self, address):
-            if address in engine_addresses and not failed:
-                failed.append(address)
+            if address in engine_addresses and not failed_addresses:
+                failed_addresses.append(address)
                 raise error
             super().connect(address)
 
     monkeypatch.setattr("pathturn.wire.line.socket.socket", FirstConnectFails)
-    return failed
+    return failed_addresses
 
 
 def call_large(rig, number: int) -> None:
@@ -60,61 +61,63 @@
     )
 
 
-def test_an_engine_whose_connection_was_late_is_still_sent_large_requests(
+def test_an_engine_whose_connection_timed_out_is_still_sent_large_batches(
     one_engine_of_six_gateways, monkeypatch
 ) -> None:
     rig = one_engine_of_six_gateways
     rig.start()
-    failed = first_connect_fails(rig, monkeypatch, TimeoutError)
+    failed_addresses = first_connect_fails(rig, monkeypatch, TimeoutError)
     call_large(rig, 1)
     rig.returned(1)
-    assert len(failed) == 1
+    assert len(failed_addresses) == 1
 
 
-def test_an_engine_that_refused_a_connection_is_sent_nothing_large_while_it_may_be_warming_up(
+def test_an_engine_that_refused_a_connection_is_sent_no_large_batch_during_its_slow_start(
     one_engine_of_six_gateways, monkeypatch
 ) -> None:
     rig = one_engine_of_six_gateways
     rig.start()
-    failed = first_connect_fails(rig, monkeypatch, ConnectionRefusedError)
+    failed_addresses = first_connect_fails(rig, monkeypatch, ConnectionRefusedError)
     call_large(rig, 1)
-    until(lambda: failed)
+    until(lambda: failed_addresses)
     gevent.sleep(EJECTED_S)
     rig.asked("e", "POST", 0)
     rig.unanswered(1)
 
 
-REPEAT_WINDOW_S = 0.4
+RETRY_WINDOW_S = 0.4
 
 
-def test_a_repeat_is_not_sent_once_its_window_has_ended_while_it_waited(rig, monkeypatch) -> None:
-    """The decision falls within the window; the connection for it comes only after."""
+def test_a_retry_is_not_sent_if_its_window_ends_while_it_waits(rig, monkeypatch) -> None:
+    """The retry is decided within the deduplication window, but its connection is available only after it."""
     for service_class in rig.settings["classes"]:
         if service_class["name"] == "load":
-            service_class["memorySpanUs"] = int(REPEAT_WINDOW_S * 1e6)
+            service_class["memorySpanUs"] = int(RETRY_WINDOW_S * 1e6)
     rig.engine("e", "reset")
     rig.engine("f", "reset")
     rig.start()
-    facade, window_ended, retries = rig.gateway.facade, Event(), []
+    facade = rig.gateway.facade
+    window_ended = Event()
+    retries = []
     follows = facade.follows
 
-    def waits_for_its_turn(attempt) -> bool:
-        if attempt.number == 0:
-            return follows(attempt)
-        retries.append(attempt.number)
-        return window_ended.is_set() and follows(attempt)
+    def follows_after_window(dispatch) -> bool:
+        if dispatch.number == 0:
+            return follows(dispatch)
+        retries.append(dispatch.number)
+        return window_ended.is_set() and follows(dispatch)
 
-    monkeypatch.setattr(facade, "follows", waits_for_its_turn)
+    monkeypatch.setattr(facade, "follows", follows_after_window)
     rig.call(1, "load", patience=3000)
     until(lambda: retries)
-    gevent.sleep(REPEAT_WINDOW_S)
+    gevent.sleep(RETRY_WINDOW_S)
     window_ended.set()
     rig.pushed_back(1)
     assert sum(len(engine.posts()) for engine in rig.engines.values()) == 1
 
 
-def test_a_connection_that_comes_up_late_serves_the_next_attempt(rig, monkeypatch) -> None:
-    """The attempt is over by then, and was never sent; the next one needs no connection of its own."""
+def test_a_connection_that_is_established_late_serves_the_next_dispatch(rig, monkeypatch) -> None:
+    """The first dispatch has ended unsent by then; the next one needs no new connection."""
     rig.engine("e")
     rig.start()
     address = rig.engines["e"].server.address
@@ -125,7 +128,7 @@
             super().connect(to)
             if to == address:
                 connects.append(to)
-                raise TimeoutError  # it came up, but only after the caller's time
+                raise TimeoutError  # established, but only after the connect timeout
 
     monkeypatch.setattr("pathturn.wire.line.socket.socket", LateConnect)
     rig.call(1, "look")
@@ -135,32 +138,32 @@
     assert not rig.gateway.pools.late
 
 
-def test_a_connection_that_never_comes_up_gives_its_descriptor_back(rig, monkeypatch) -> None:
+def test_a_connection_that_is_never_established_releases_its_slot(rig, monkeypatch) -> None:
     rig.set("limits.idleCloseUs", "200000")
     rig.engine("e")
     rig.start()
     pools = rig.gateway.pools
     capacity = pools.room.counter
-    failed = first_connect_fails(rig, monkeypatch, TimeoutError)
+    failed_addresses = first_connect_fails(rig, monkeypatch, TimeoutError)
     rig.call(1, "look")
     rig.returned(1)
-    assert len(failed) == 1
+    assert len(failed_addresses) == 1
     until(lambda: not pools.late and not pools.idle and pools.room.counter == capacity)
 
 
 class PendingConnection:
-    """A connection to an engine that stays in establishment until `up` is set."""
+    """A connection to an engine that is pending until `established` is set."""
 
     parts = None
     host = "127.0.0.1:1"
 
     def __init__(self, place) -> None:
         self.place = place
-        self.up = Event()
+        self.established = Event()
         self.closed_with = None
 
     def came_up(self, timeout_s: float) -> bool:
-        return self.up.wait(timeout_s)
+        return self.established.wait(timeout_s)
 
     def fresh(self) -> bool:
         return True
@@ -173,46 +176,46 @@
 
 
 @pytest.fixture
-def pool_of_late_connections():
-    """A pool with room for two, every connection of which is late; returns it and the connections begun."""
-    begun = []
+def pool_of_pending_connections():
+    """A pool of at most two connections, none established in time, and the list of those opened."""
+    opened = []
 
     def connect(place, timeout_s):
-        begun.append(PendingConnection(place))
-        raise ConnectTimeoutError(TimeoutError(), begun[-1])
+        opened.append(PendingConnection(place))
+        raise ConnectTimeoutError(TimeoutError(), opened[-1])
 
-    return Pools(2, 2_000_000, 250_000, unix_clock, connect, lambda text: None), begun
+    return Pools(2, 2_000_000, 250_000, unix_clock, connect, lambda text: None), opened
 
 
-def acquire_late(pool, place) -> None:
+def acquire_pending(pool, place) -> None:
     with pytest.raises(ConnectTimeoutError):
         pool.borrow(place)
 
 
-def test_one_late_connection_is_kept_for_each_endpoint(pool_of_late_connections) -> None:
-    pool, begun = pool_of_late_connections
-    acquire_late(pool, ENDPOINTS[0])
-    acquire_late(pool, ENDPOINTS[0])
-    assert [connection.closed_with for connection in begun] == [None, "connect_timeout"]
-    begun[0].up.set()
+def test_one_pending_connection_is_kept_for_each_endpoint(pool_of_pending_connections) -> None:
+    pool, opened = pool_of_pending_connections
+    acquire_pending(pool, ENDPOINTS[0])
+    acquire_pending(pool, ENDPOINTS[0])
+    assert [connection.closed_with for connection in opened] == [None, "connect_timeout"]
+    opened[0].established.set()
     until(lambda: not pool.late)
-    assert pool.borrow(ENDPOINTS[0]) is begun[0]
+    assert pool.borrow(ENDPOINTS[0]) is opened[0]
 
 
-def test_a_late_connection_to_an_engine_that_has_gone_is_closed_at_once(pool_of_late_connections) -> None:
-    """Also where its waiter has not run yet."""
-    pool, begun = pool_of_late_connections
-    acquire_late(pool, ENDPOINTS[0])
+def test_a_pending_connection_to_a_removed_engine_is_closed_at_once(pool_of_pending_connections) -> None:
+    """Also if the greenlet that waits for it has not run yet."""
+    pool, opened = pool_of_pending_connections
+    acquire_pending(pool, ENDPOINTS[0])
     pool.keep_only({ENDPOINTS[1]})
-    until(lambda: begun[0].closed_with)
+    until(lambda: opened[0].closed_with)
     assert not pool.late
     assert pool.room.counter == 2
 
 
-def test_late_connections_give_way_where_descriptors_are_short(pool_of_late_connections) -> None:
-    pool, begun = pool_of_late_connections
+def test_pending_connections_are_discarded_at_the_connection_limit(pool_of_pending_connections) -> None:
+    pool, opened = pool_of_pending_connections
     for place in ENDPOINTS:
-        acquire_late(pool, place)
+        acquire_pending(pool, place)
     with gevent.Timeout(1):
-        acquire_late(pool, (2, ("127.0.0.1", 3)))
-    assert [connection.closed_with for connection in begun] == ["connect_timeout", None, None]
+        acquire_pending(pool, (2, ("127.0.0.1", 3)))
+    assert [connection.closed_with for connection in opened] == ["connect_timeout", None, None]
