--- a/pathturn/wire/clients.py
+++ b/pathturn/wire/clients.py
@@ -1,4 +1,5 @@
-"""Clients' connections: a greenlet reads each, and each batch has a greenlet of its own."""
+"""Client connections: one greenlet reads each connection, and each batch is served by a greenlet of its
+own."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -14,255 +15,307 @@
 from pathturn.memory.buffers import SIZE, Buffers
 from pathturn.memory.facade import Facade
 from pathturn.wire import jsonrpc
-from pathturn.wire.input import Input
 from pathturn.wire.line import hung_up, quiet
+from pathturn.wire.reader import SocketReader
 from pathturn.wire.statement import data_set
 
-# The protocol's figures: so many open batches on a connection, which clients close when idle for 4 s.
-MOST_OPEN, IDLE_S = 32, 5.0
-# By the protocol batches of a key are written 60 ms apart, and what each says of its patience stems from
-# before its turn. Those of a connection that ended, or were pushed back together, come again in such a row,
-# which the module keeps within a part of the time limit: for the last of them so much is over already.
-# Answered by what they say, they would be answered when their clients have gone. One that says less than a
-# row takes may have any time left; up to half a second after it an answer earns nothing but is not lost, and
-# half of that is left for what an answer takes to be there.
-LEAST_US = 250_000
-# A client that sends nothing whole, or reads nothing, is owed an end within 3 s of connecting.
-HALF_S, WRITE_S = 2.0, 2.0
-# So much a connection is taken to ask for: a line each millisecond, and far fewer that are turned away, as
-# those often come back at once. For what is beyond a burst its reader rests, and the others do not.
-LINE_US, FAULT_US, BURST_US, LONGEST_REST_US = 1_000, 50_000, 100_000, 500_000
-# Where no more can be read ahead the end is looked for this often: a batch of a client that left is owed
-# nothing more, and the protocol wants that known within 0.1 s.
-ABORT, LOOK_US = b'"abort"', 25_000
-# An abort is read soon, but not at once: each piece of a flood may hold one.
-ABORT_REST_US = 10_000
-# A reader takes a turn of the event loop to wake, one to read what is there, and one for what came meanwhile.
-TURNS = 3
-# What the shortest lines of one read are answered with; the writer has a turn before the next one, so that
-# more is there only where the client does not read.
-MOST_ASIDE = 10 * SIZE
-# Ten times as long as a batch may cross this side's end by the protocol; a client that has not closed by then
-# will not.
-LINGER_US = 500_000
+# The protocol's limit for one connection.
+MOST_OPEN = 32
+# By the protocol, clients close a connection themselves after 4 s without traffic.
+IDLE_TIMEOUT_S = 5.0
+# By the protocol a client writes the batches of one key 60 ms apart, and the patience of a batch counts from
+# before its turn in that sequence. When a connection ends, or batches are pushed back together, the batches
+# of a key are sent again as such a sequence. The decision module keeps its length (`key_queue_drain_us`) within a
+# fraction of the time limit, and for the last batch of it that much time has passed already. It is
+# subtracted, as the answer would otherwise come when the client has gone. A batch with less patience than
+# that length may have any time left: an answer up to 0.5 s late earns nothing but is not lost, and half of
+# that is kept for the answer to arrive.
+MIN_TIME_LEFT_US = 250_000
+# A client that sends no complete line, or does not read, has to be disconnected within 3 s of connecting.
+LINE_TIMEOUT_S = 2.0
+WRITE_TIMEOUT_S = 2.0
+# Rate limit of a connection: each line costs 1 ms, and each rejected one 50 ms more, because rejected
+# requests are often sent again at once. Beyond the burst its reader pauses; other connections are not
+# delayed.
+LINE_COST_US = 1_000
+REJECTION_COST_US = 50_000
+BURST_US = 100_000
+MAX_PAUSE_US = 500_000
+# A connection with an abort in its read-ahead pauses only this long. Not reading it at once keeps the limit
+# effective for a flood with an abort in each piece.
+ABORT_PAUSE_US = 10_000
+ABORT_METHOD = b'"abort"'
+# How often a connection that is not being read is polled for the client's close: the batches of a client that
+# has disconnected need no answer, and by the protocol the gateway has to know that within 0.1 s.
+CLOSE_POLL_US = 25_000
+# Event loop iterations a reader needs: one to wake, one to read, and one for what arrived meanwhile.
+READER_ITERATIONS = 3
+# The replies to one read of the shortest lines. The writer runs before the next read, so more than this is
+# queued only when the client does not read.
+MAX_QUEUED_REPLY_BYTES = 10 * SIZE
+# Ten times as long as, by the protocol, a batch may cross the gateway's half-close. A client that has not
+# closed its side by then is not going to.
+HALF_CLOSE_TIMEOUT_US = 500_000
 
 
 class Session:
+    """A client's connection: reads its requests, starts its batches and writes their answers."""
+
     def __init__(
         self,
         link: socket.socket,
         facade: Facade,
         send: Callable[[Dispatch], None],
         buffers: Buffers,
-        ready: Callable[[], bool],
-        longest_line: int,
+        is_ready: Callable[[], bool],
+        max_line_bytes: int,
     ) -> None:
-        self.link, self.facade, self.send, self.buffers, self.ready = link, facade, send, buffers, ready
-        self.input = Input(link)
-        self.writing, self.open, self.answering, self.taken = RLock(), {}, Group(), 0
-        self.lines, self.code, self.last, self.faults = jsonrpc.Lines(longest_line), "", 0, 0
-        self.heard_us, self.half_us, self.proven, self.paced_us = facade.clock(), 0, False, 0
-        self.asides, self.aside_bytes = [], 0
+        self.socket = link
+        self.facade = facade
+        self.send = send
+        self.buffers = buffers
+        self.is_ready = is_ready
+        self.reader = SocketReader(link)
+        self.write_lock = RLock()
+        self.open_batches: dict[int, Batch] = {}
+        self.answer_greenlets = Group()
+        self.taken = 0
+        self.lines = jsonrpc.Lines(max_line_bytes)
+        self.code = ""
+        self.last_request_id = 0
+        self.rejections = 0
+        self.heard_us = facade.clock()
+        self.partial_line_since_us = 0
+        self.line_received = False
+        # The time up to which the lines read so far use up the connection's rate limit.
+        self.rate_limited_until_us = 0
+        self.queued_replies: list[bytes] = []
+        self.queued_reply_bytes = 0
 
-    # When this side was ended, and whether what still comes is thrown away.
-    parted_us, deaf = 0, False
-    # Whether it was spared once at its limit, for what lay unread by then.
-    spared = False
+    # When the gateway closed its side; 0 while it is open.
+    parted_us = 0
+    # Whether further input is discarded.
+    discarding_input = False
+    # Whether a timeout was deferred once because unread input lay in the socket.
+    timeout_deferred = False
 
     def serve(self) -> str:
-        """Reads until the connection ends; returns the code for why it did."""
+        """Read until the connection ends; return the reason code."""
         try:
-            self.link.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             try:
-                return self._read()
+                return self._read_until_closed()
             except jsonrpc.Unusable as fault:
-                self.fault(None, jsonrpc.MALFORMED)
-                return self._see_off(str(fault))
+                self.reject(None, jsonrpc.PARSE_ERROR)
+                return self._close_gracefully(str(fault))
             except OSError:
                 raise
             except Exception as fault:  # noqa: BLE001 - whatever a client sent must end its own connection alone
-                return self._see_off(f"fault_{type(fault).__name__}")
+                return self._close_gracefully(f"fault_{type(fault).__name__}")
         except OSError as fault:
             return self.code or f"lost_{type(fault).__name__}"
         finally:
-            for batch in list(self.open.values()):
+            for batch in list(self.open_batches.values()):
                 self.facade.leave(batch)
-            self._close()
+            self._close_socket()
 
     def end(self, code: str) -> None:
-        """Ends the connection from outside; its reader wakes and logs why. Only where nothing that was
-        written may still be on its way: with bytes unread the system would reset it, and take that away."""
+        """Close the connection; its reader wakes up and returns `code`. Use this only when no answer can
+        still be in transit: if input is unread, the operating system resets the connection and discards
+        them."""
         self.code = self.code or code
-        self._close()
+        self._close_socket()
 
-    def _close(self) -> None:
-        self.input.end()
-        self.link.close()
+    def _close_socket(self) -> None:
+        self.reader.cancel()
+        self.socket.close()
 
     def part(self, code: str) -> None:
-        """Ends it from this side alone: closed with bytes unread, the system would reset it, and take from
-        the client the answers it has not read yet. Its reader goes on to the client's own end."""
-        self.code, self.deaf = self.code or code, True
+        """Half-close the connection: close the sending direction and discard input up to the client's close.
+        A full close with unread input makes the operating system reset the connection, and the client would
+        lose the answers that it has not read yet."""
+        self.code = self.code or code
+        self.discarding_input = True
         self.parted_us = self.parted_us or self.facade.clock()
         with suppress(OSError):
-            self.link.shutdown(socket.SHUT_WR)
+            self.socket.shutdown(socket.SHUT_WR)
 
-    def _see_off(self, code: str) -> str:
-        """Nothing more of it can be trusted, but what was taken before is still owed its answer; unless the
-        client leaves first, which is heard all the while."""
-        self.code, self.deaf = self.code or code, True
-        gevent.spawn(self._part_once_answered)
-        return self._read()
+    def _close_gracefully(self, code: str) -> str:
+        """Discard further input, answer the open batches, then half-close. The client may close earlier, so
+        the connection is watched for that all the time. Return the reason code."""
+        self.code = self.code or code
+        self.discarding_input = True
+        gevent.spawn(self._half_close_when_answered)
+        return self._read_until_closed()
 
-    def _part_once_answered(self) -> None:
-        self.answering.join()
-        if not self.link.closed:
+    def _half_close_when_answered(self) -> None:
+        self.answer_greenlets.join()
+        if not self.socket.closed:
             self.part(self.code)
 
     def at_rest(self) -> bool:
-        """Whether nothing is lost if it gives way: no answer owed or being written, and no batch on its way
-        from a usual client, be it half a line or what lies unread."""
-        return not self.answering and not (self.proven and (self.lines.waiting or not quiet(self.link)))
+        """Whether the connection can be closed without loss: no answer is pending or being written, and a
+        client that has sent a complete line before has no request in transit (a partial line, or unread
+        input)."""
+        return not self.answer_greenlets and not (
+            self.line_received and (self.lines.has_input or not quiet(self.socket))
+        )
 
     def overdue(self, now: int) -> str | None:
-        """The code with which it is to end, if it holds its place for nothing."""
+        """Return the reason code if the connection has exceeded one of its timeouts, else None."""
         if self.parted_us:
-            return "parted" if now - self.parted_us > LINGER_US else None
-        if self.answering:
+            return "half_close_timeout" if now - self.parted_us > HALF_CLOSE_TIMEOUT_US else None
+        if self.answer_greenlets:
             return None
         idle_s = (now - self.heard_us) / 1e6
-        silent = not self.proven and idle_s > HALF_S
-        half_line = bool(self.lines.rest) and (now - self.half_us) / 1e6 > HALF_S
-        if silent or half_line:
-            # After a stall of the process what came in time may lie unread: it is read before the next look.
-            if not self.spared and not quiet(self.link):
-                self.spared = True
+        no_request = not self.line_received and idle_s > LINE_TIMEOUT_S
+        partial_line = bool(self.lines.rest) and (now - self.partial_line_since_us) / 1e6 > LINE_TIMEOUT_S
+        if no_request or partial_line:
+            # After a stall of this process, input that arrived in time may be unread: it is read before the
+            # next check.
+            if not self.timeout_deferred and not quiet(self.socket):
+                self.timeout_deferred = True
                 return None
-            return "silent" if silent else "half_line"
-        self.spared = False
-        return "idle" if not self.lines.waiting and idle_s > IDLE_S and quiet(self.link) else None
+            return "no_request" if no_request else "partial_line"
+        self.timeout_deferred = False
+        return "idle" if not self.lines.has_input and idle_s > IDLE_TIMEOUT_S and quiet(self.socket) else None
 
     def catch_up(self) -> None:
-        """Lets the reader take what lies in the socket, in the name of a batch that is to go out: an end or
-        an abort among it was there before. After a standstill a dial that came up may be looked at first."""
-        for _ in range(TURNS):
-            if quiet(self.link):
+        """Let the reader process the input that lies in the socket. This is called before a dispatch of one
+        of the client's batches begins, as a close or an abort may have arrived before: after a stall of this
+        process the event loop may look at a new connection to an engine first."""
+        for _ in range(READER_ITERATIONS):
+            if quiet(self.socket):
                 return
             gevent.sleep(0)
 
-    def _read(self) -> str:
+    def _read_until_closed(self) -> str:
         while True:
-            if self.lines.ahead:
-                piece = bytes(self.lines.ahead[:SIZE])
-                del self.lines.ahead[:SIZE]
-                self._take(memoryview(piece))
+            if self.lines.read_ahead:
+                piece = bytes(self.lines.read_ahead[:SIZE])
+                del self.lines.read_ahead[:SIZE]
+                self._process(memoryview(piece))
             else:
                 with self.buffers.lent() as buffer:
-                    if not (size := self.input.receive_into(buffer)):
+                    if not (size := self.reader.receive_into(buffer)):
                         return self.code or "client_closed"
-                    self._take(buffer[:size])
-            # Also where there is nothing to pay for: a socket that always has more never lets others run.
+                    self._process(buffer[:size])
+            # Also without a pause for the rate limit: a socket that always has input would starve the others.
             gevent.sleep(0)
-            if not self._rest():
+            if not self._pause():
                 return self.code or "client_closed"
 
-    def _take(self, piece: memoryview) -> None:
-        if self.deaf:
-            return  # what crosses this side's end its client sends again elsewhere
-        faults = self.faults
-        halves = bool(self.lines.rest)
-        lines = bytes(piece).count(b"\n")  # empty ones as well: they take their time too
+    def _process(self, piece: memoryview) -> None:
+        if self.discarding_input:
+            return  # by the protocol a client resends elsewhere what crosses the gateway's half-close
+        rejections_before = self.rejections
+        had_partial_line = bool(self.lines.rest)
+        line_count = bytes(piece).count(b"\n")  # with empty lines, as they take time too
         for line in self.lines.feed(piece):
-            self.proven, halves, self.heard_us = True, False, self.facade.clock()
-            jsonrpc.read(line, self)
-        if self.lines.rest and not halves:
-            self.half_us = self.facade.clock()
+            self.line_received = True
+            had_partial_line = False
+            self.heard_us = self.facade.clock()
+            jsonrpc.handle_line(line, self)
+        if self.lines.rest and not had_partial_line:
+            self.partial_line_since_us = self.facade.clock()
         now = self.facade.clock()
-        self.paced_us = max(self.paced_us, now - BURST_US) + lines * LINE_US
-        self.paced_us += (self.faults - faults) * FAULT_US
+        self.rate_limited_until_us = (
+            max(self.rate_limited_until_us, now - BURST_US) + line_count * LINE_COST_US
+        )
+        self.rate_limited_until_us += (self.rejections - rejections_before) * REJECTION_COST_US
 
-    def _rest(self) -> bool:
-        """Until it is paid for what was asked. Reading goes on meanwhile, as far as there is room: the
-        client's end counts at once, and so does an abort. False at that end."""
-        if self.deaf:
+    def _pause(self) -> bool:
+        """Wait until the connection is within its rate limit again. Meanwhile input is read ahead as far as
+        there is room, since the client's close counts at once and aborts count soon. Return whether to go on
+        reading: False if the client has closed."""
+        if self.discarding_input:
             if not self.parted_us:
-                gevent.sleep(LOOK_US / 1e6)
-            return self.parted_us > 0 or not hung_up(self.link)
-        until = min(self.paced_us, self.facade.clock() + LONGEST_REST_US)
-        soon = min(until, self.facade.clock() + ABORT_REST_US)
-        while not self.deaf:
-            left = (soon if ABORT in self.lines.ahead else until) - self.facade.clock()
-            if left <= 0:
+                gevent.sleep(CLOSE_POLL_US / 1e6)
+            return self.parted_us > 0 or not hung_up(self.socket)
+        until_us = min(self.rate_limited_until_us, self.facade.clock() + MAX_PAUSE_US)
+        abort_until_us = min(until_us, self.facade.clock() + ABORT_PAUSE_US)
+        while not self.discarding_input:
+            deadline_us = abort_until_us if ABORT_METHOD in self.lines.read_ahead else until_us
+            left_us = deadline_us - self.facade.clock()
+            if left_us <= 0:
                 break
-            if not (room := min(SIZE, self.lines.room)):
-                if hung_up(self.link):
+            if not (room := min(SIZE, self.lines.read_ahead_room)):
+                if hung_up(self.socket):
                     return False
-                gevent.sleep(min(left, LOOK_US) / 1e6)
+                gevent.sleep(min(left_us, CLOSE_POLL_US) / 1e6)
                 continue
-            with gevent.Timeout(left / 1e6, False), self.buffers.lent() as buffer:
-                if not (size := self.input.receive_into(buffer[:room])):
+            with gevent.Timeout(left_us / 1e6, False), self.buffers.lent() as buffer:
+                if not (size := self.reader.receive_into(buffer[:room])):
                     return False
-                self.lines.ahead += buffer[:size]
+                self.lines.read_ahead += buffer[:size]
                 gevent.sleep(0)
         return True
 
     def _write(self, line: bytes) -> None:
-        with self.writing:
+        with self.write_lock:
             try:
-                with gevent.Timeout(WRITE_S, TimeoutError):
-                    self.link.sendall(line)
+                with gevent.Timeout(WRITE_TIMEOUT_S, TimeoutError):
+                    self.socket.sendall(line)
             except OSError as fault:
-                # The reader is woken and logs it.
-                self.end("unread" if isinstance(fault, TimeoutError) else f"lost_{type(fault).__name__}")
+                # The reader wakes up, and the reason is logged when it returns.
+                self.end(
+                    "client_not_reading"
+                    if isinstance(fault, TimeoutError)
+                    else f"lost_{type(fault).__name__}"
+                )
 
-    def _write_aside(self, line: bytes) -> None:
-        """What no batch waits for. Not by the reader: behind a client that does not read it would hear of
-        that client's end, and of its aborts, only seconds later."""
-        self.asides.append(line)
-        self.aside_bytes += len(line)
-        if self.aside_bytes > MOST_ASIDE:
-            self.end("unread")
-        elif self.aside_bytes == len(line):
-            self.answering.spawn(self._write_asides)
+    def _queue_reply(self, line: bytes) -> None:
+        """Queue a reply that belongs to no batch. The reader doesn't write it itself: blocked by a client
+        that does not read, it would notice that client's close and its aborts only seconds later."""
+        self.queued_replies.append(line)
+        self.queued_reply_bytes += len(line)
+        if self.queued_reply_bytes > MAX_QUEUED_REPLY_BYTES:
+            self.end("client_not_reading")
+        elif self.queued_reply_bytes == len(line):
+            self.answer_greenlets.spawn(self._write_queued_replies)
 
-    def _write_asides(self) -> None:
-        while self.asides:
-            lines, self.asides = b"".join(self.asides), []
-            self._write(lines)
-            self.aside_bytes -= len(lines)
+    def _write_queued_replies(self) -> None:
+        while self.queued_replies:
+            replies = b"".join(self.queued_replies)
+            self.queued_replies = []
+            self._write(replies)
+            self.queued_reply_bytes -= len(replies)
 
-    # What a line may ask for; the decoder calls these.
-    def group(self, method: str) -> names.ServiceGroup | None:
+    # Callbacks of jsonrpc.handle_line, one for each kind of request.
+    def service_group(self, method: str) -> names.ServiceGroup | None:
         return self.facade.group(method)
 
-    def admits(self, number: int) -> bool:
-        """Numbers count from 1 and come once; some may be left out by a client that thought better of it. Of
-        two under one number neither may be taken for the other: both are answered by one error."""
-        if (clash := self.open.get(number)) is not None:
+    def accept_request_id(self, request_id: int) -> bool:
+        """Return whether a request with this id may go on; otherwise it has been answered. Ids count from 1
+        and are used once; a client may skip the ids of requests that it decided not to send. Two open
+        requests with one id can't be told apart by their answers: both are ended, with one error."""
+        if (clash := self.open_batches.get(request_id)) is not None:
             self.facade.leave(clash)
-            self.open.pop(number)
-            self.fault(number, jsonrpc.INVALID)
+            self.open_batches.pop(request_id)
+            self.reject(request_id, jsonrpc.INVALID_REQUEST)
             return False
-        if not self.last < number <= self.last + MOST_OPEN:
-            self.fault(number if number > self.last else None, jsonrpc.INVALID)
+        if not self.last_request_id < request_id <= self.last_request_id + MOST_OPEN:
+            # Under an id used before, the error could be taken for the answer to that request.
+            self.reject(request_id if request_id > self.last_request_id else None, jsonrpc.INVALID_REQUEST)
             return False
-        self.last = number
+        self.last_request_id = request_id
         return True
 
-    def ping(self, number: Any) -> None:
-        self._write_aside(jsonrpc.healthy(number, self.ready()))
+    def ping(self, request_id: Any) -> None:
+        self._queue_reply(jsonrpc.healthy(request_id, self.is_ready()))
 
-    def fault(self, number: Any, code: int) -> None:
-        self.faults += 1
-        self._write_aside(jsonrpc.errored(number, code))
+    def reject(self, request_id: Any, error_code: int) -> None:
+        """Answer a request with an error and count it for the rate limit."""
+        self.rejections += 1
+        self._queue_reply(jsonrpc.errored(request_id, error_code))
 
-    def abort(self, number: Any) -> None:
-        if type(number) is int and (batch := self.open.get(number)) is not None:
+    def abort(self, request_id: Any) -> None:
+        if type(request_id) is int and (batch := self.open_batches.get(request_id)) is not None:
             self.facade.leave(batch)
 
-    def batch(
+    def open_batch(
         self,
-        number: int,
+        request_id: int,
         group: str,
         ticket: str,
         left_us: int,
@@ -274,15 +327,16 @@
         repeat: bool,
         statement: bytes,
     ) -> None:
-        if len(self.open) >= MOST_OPEN:
-            self.fault(number, jsonrpc.TOO_MANY)
+        """Pass a batch on to the decision module and start the greenlet that serves it."""
+        if len(self.open_batches) >= MOST_OPEN:
+            self.reject(request_id, jsonrpc.TOO_MANY_OPEN)
             return
         if self.facade.is_open(ticket):
-            # Engines know a query by its ticket alone: the two would be answered with each other's rows.
-            self.fault(number, jsonrpc.INVALID)
+            # Engines identify a query by its ticket alone: each of the two could get the other's rows.
+            self.reject(request_id, jsonrpc.INVALID_REQUEST)
             return
         if key is not None and self.facade.group(group).ordered_by_key:
-            left_us = min(left_us, max(LEAST_US, left_us - self.facade.key_queue_drain_us(group)))
+            left_us = min(left_us, max(MIN_TIME_LEFT_US, left_us - self.facade.key_queue_drain_us(group)))
         batch = self.facade.take(
             self,
             ticket,
@@ -297,23 +351,24 @@
             repeat,
             statement,
         )
-        self.open[number] = batch
+        self.open_batches[request_id] = batch
         self.taken += 1
-        self.answering.spawn(self._see_through, number, batch)
+        self.answer_greenlets.spawn(self._serve_batch, request_id, batch)
 
-    def _see_through(self, number: Any, batch: Batch) -> None:
+    def _serve_batch(self, request_id: Any, batch: Batch) -> None:
+        """Send the dispatches of a batch until it ends, then write its answer."""
         while isinstance(step := self.facade.pick(batch), Dispatch):
             self.send(step)
-        if self.open.get(number) is batch:
-            del self.open[number]
+        if self.open_batches.get(request_id) is batch:
+            del self.open_batches[request_id]
         self.heard_us = self.facade.clock()
         with self.facade.answering(batch):
-            self._answer(number, step)
+            self._write_answer(request_id, step)
 
-    def _answer(self, number: Any, end: End) -> None:
+    def _write_answer(self, request_id: Any, end: End) -> None:
         if end.how == names.RETURNED:
-            self._write(jsonrpc.returned(number, end.rows))
+            self._write(jsonrpc.returned(request_id, end.rows))
         elif end.how == names.ERRORED:
-            self._write(jsonrpc.errored(number))
+            self._write(jsonrpc.errored(request_id))
         elif end.how is not None:
-            self._write(jsonrpc.pushed_back(number, end.retry_us))
+            self._write(jsonrpc.pushed_back(request_id, end.retry_us))
--- a/pathturn/wire/door.py
+++ b/pathturn/wire/door.py
@@ -1,4 +1,4 @@
-"""The listener for clients' connections."""
+"""The listener for client connections."""
 
 from collections.abc import Callable
 from contextlib import suppress
@@ -10,9 +10,8 @@
 
 
 class Door(StreamServer):
-    """Whoever finds no room is turned away in the very turn that accepts it. Left to a greenlet of its own
-    that comes after up to a hundred more have been accepted, on descriptors that are lent to others or to
-    nobody."""
+    """Closes a connection that is not admitted in the event loop iteration that accepts it. A greenlet would
+    do so only after up to a hundred more have been accepted, on file descriptors reserved for other uses."""
 
     def __init__(
         self,
@@ -20,24 +19,25 @@
         admit: Callable[[socket.socket, Any], Any],
         serve: Callable[[Any, Any], None],
     ) -> None:
-        """`admit` gives what is to be served, or None for no room; `serve` gets that in a greenlet of its
-        own."""
+        """`admit` returns the object to be served, or None if the connection is refused; `serve` is called
+        with that object and the peer's address, in a greenlet of its own."""
         super().__init__(address, serve, backlog=1024)
-        self.admit, self.serve_one = admit, serve
+        self.admit = admit
+        self.serve_connection = serve
 
     def do_handle(self, link: socket.socket, peer: Any) -> None:
         if (admitted := self.admit(link, peer)) is None:
             link.close()
         else:
-            gevent.spawn(self.serve_one, admitted, peer)
+            gevent.spawn(self.serve_connection, admitted, peer)
 
     def close_after_all(self) -> None:
-        """Takes what the system has accepted before it closes: that may hold a batch, and would be reset.
-        After a standstill a timer comes before the listener is looked at. Raises OSError where the queue
-        can't be read."""
+        """Handle the connections in the accept queue, then close the listener: one of them may carry a
+        request, and closing the listener would reset it. After a stall of this process, a timer that calls
+        this may run before the event loop looks at the listener. Raise OSError if the queue can't be read."""
         try:
-            while (found := self.do_read()) is not None:
-                self.do_handle(*found)
+            while (accepted := self.do_read()) is not None:
+                self.do_handle(*accepted)
         finally:
             with suppress(OSError):
                 self.close()
--- a/pathturn/wire/jsonrpc.py
+++ b/pathturn/wire/jsonrpc.py
@@ -1,4 +1,5 @@
-"""JSON-RPC 2.0 lines from clients: bytes to calls, answers to bytes. No sockets here."""
+"""JSON-RPC 2.0 over newline-delimited JSON: decodes clients' requests and encodes answers, without
+sockets."""
 
 import re
 from base64 import b64decode, b64encode
@@ -9,36 +10,51 @@
 
 from pathturn.core import interface as names
 
-PUSHED_BACK = -32066  # the protocol's own; those below are JSON-RPC's, and two of the range left to servers
-ERRORED, TOO_MANY = -32050, -32051
-MALFORMED, INVALID, UNKNOWN, UNUSABLE = -32700, -32600, -32601, -32602
-TICKET, TOKEN = re.compile(r"[0-9a-f]{16}"), re.compile(r"[\w.:-]{1,64}", re.ASCII)
-LARGEST_FIGURE = 1e7  # three hours of work, ten terabytes: an estimate beyond that is none
+# Error codes: the first is set by the gateway's protocol, the next two are from JSON-RPC's range for servers,
+# and the others are JSON-RPC's own.
+PUSHED_BACK = -32066
+ERRORED = -32050
+TOO_MANY_OPEN = -32051
+PARSE_ERROR = -32700
+INVALID_REQUEST = -32600
+METHOD_NOT_FOUND = -32601
+INVALID_PARAMS = -32602
+
+TICKET_PATTERN = re.compile(r"[0-9a-f]{16}")
+TOKEN_PATTERN = re.compile(r"[\w.:-]{1,64}", re.ASCII)
+MAX_NUMBER = 1e7  # three hours of work in ms, ten terabytes in MB: a larger estimate is an error
 
 
 class Unusable(Exception):
-    """Bytes after which nothing more of the stream can be trusted; its text is the reason's code."""
+    """The stream can't be decoded beyond this point; the message is the reason code."""
 
 
 class Lines:
-    """Cuts a stream into lines, whatever pieces it comes in. A line that never ends must not fill the memory,
-    nor have what there is of it searched again with each piece. `ahead` is what was read before its time, to
-    hear what lies behind it; together with a line's rest it takes no more than a line may."""
+    """Splits a byte stream into lines, in whatever pieces it arrives.
+
+    A line that does not end must not fill the memory, and the part received so far is not searched again with
+    each piece. `read_ahead` is input that was read to see the requests and the close behind it before it is
+    processed; together with the partial line it is at most as long as a line may be.
+    """
 
-    def __init__(self, longest: int) -> None:
-        self.longest, self.rest, self.ahead = longest, bytearray(), bytearray()
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self.rest = bytearray()
+        self.read_ahead = bytearray()
 
     @property
-    def room(self) -> int:
-        """How many bytes more may be read ahead."""
-        return max(0, self.longest - len(self.rest) - len(self.ahead))
+    def read_ahead_room(self) -> int:
+        """How many more bytes may be read ahead."""
+        return max(0, self.max_bytes - len(self.rest) - len(self.read_ahead))
 
     @property
-    def waiting(self) -> bool:
-        """Whether there is more than whole lines that have been looked at."""
-        return bool(self.rest or self.ahead)
+    def has_input(self) -> bool:
+        """Whether there is a partial line or read-ahead that has not been processed."""
+        return bool(self.rest or self.read_ahead)
 
     def feed(self, piece: memoryview) -> Iterator[bytes]:
+        """Yield the lines that are complete with this piece, except blank ones. Raise Unusable if the line
+        that it leaves incomplete is too long."""
         parts = bytes(piece).split(b"\n")
         for part in parts[:-1]:
             line = bytes(self.rest) + part if self.rest else part
@@ -46,52 +62,58 @@
             if line.strip():
                 yield line
         self.rest += parts[-1]
-        if len(self.rest) > self.longest:
+        if len(self.rest) > self.max_bytes:
             raise Unusable("overlong_line")
 
 
-def read(line: bytes, session: Any) -> None:
-    """Turns a line into one call of the session; what cannot be read is answered where its id is known. The
-    cheap checks come first: whoever is turned away often returns at once."""
+def handle_line(line: bytes, connection: Any) -> None:
+    """Decode a line and make one call on the connection. A request that can't be decoded is rejected if its
+    id is known, else Unusable is raised. Cheap checks come first, as rejected requests are often sent again
+    at once."""
     try:
         message = orjson.loads(line)
     except orjson.JSONDecodeError as fault:
         raise Unusable("malformed_line") from fault
     if type(message) is not dict:
         raise Unusable("malformed_line")
-    number, method, params = message.get("id"), message.get("method"), message.get("params")
+    request_id = message.get("id")
+    method = message.get("method")
+    params = message.get("params")
     if method == "abort":
-        session.abort(params.get("id") if type(params) is dict else None)
+        connection.abort(params.get("id") if type(params) is dict else None)
         return
-    if type(number) is not int:
+    if type(request_id) is not int:
         raise Unusable("no_id")
-    if not session.admits(number):
+    if not connection.accept_request_id(request_id):
         return
     if message.get("jsonrpc") != "2.0" or type(method) is not str:
-        session.fault(number, INVALID)
+        connection.reject(request_id, INVALID_REQUEST)
     elif method == "ping":
-        session.ping(number)
-    elif (group := session.group(method)) is None:
-        session.fault(number, UNKNOWN)
+        connection.ping(request_id)
+    elif (group := connection.service_group(method)) is None:
+        connection.reject(request_id, METHOD_NOT_FOUND)
     else:
         try:
-            fields = _fields(params, group)
+            fields = _parse_params(params, group)
         except (KeyError, TypeError, ValueError, AttributeError):
-            session.fault(number, UNUSABLE)
+            connection.reject(request_id, INVALID_PARAMS)
         else:
-            session.batch(number, method, *fields)
+            connection.open_batch(request_id, method, *fields)
 
 
-def _fields(params: dict[str, Any], group: names.ServiceGroup) -> tuple:
-    """All of them or none: whatever goes on to an engine must be as the client wrote it."""
-    left_us = int(_figure(params["patience"]) * 1000)
+def _parse_params(params: dict[str, Any], group: names.ServiceGroup) -> tuple:
+    """Return the fields of a batch, in the order in which `open_batch` has them. A single invalid one rejects
+    the request: whatever is forwarded to an engine must be as the client wrote it."""
+    left_us = int(_number(params["patience"]) * 1000)
     if not 0 < left_us <= group.time_limit_us:
         raise ValueError("patience")
-    if not TICKET.fullmatch(params["trace"]):
+    if not TICKET_PATTERN.fullmatch(params["trace"]):
         raise ValueError("trace")
-    work_us, memory_mb = int(_figure(params.get("weight", 0)) * 1000), int(_figure(params.get("est_mb", 0)))
+    work_us = int(_number(params.get("weight", 0)) * 1000)
+    memory_mb = int(_number(params.get("est_mb", 0)))
     nonce = _token(params, "nonce", group.kind == names.REFERENCED)
-    key, customer = _token(params, "entity", group.ordered_by_key), _token(params, "customer", False)
+    key = _token(params, "entity", group.ordered_by_key)
+    customer = _token(params, "customer", False)
     statement = b64decode(params["data"], validate=True)
     if not statement.decode().strip():
         raise ValueError("data")
@@ -108,36 +130,39 @@
     )
 
 
-def _figure(value: float) -> float:
-    if type(value) not in (int, float) or not 0 <= value <= LARGEST_FIGURE:
+def _number(value: float) -> float:
+    if type(value) not in (int, float) or not 0 <= value <= MAX_NUMBER:
         raise ValueError("figure")
     return value
 
 
-def _token(params: dict[str, Any], name: str, needed: bool) -> str | None:
-    """These become header fields: one with a line's end in it would write further ones."""
+def _token(params: dict[str, Any], name: str, required: bool) -> str | None:
+    """Return a field that is forwarded as an HTTP header: with a line break in it a client could add
+    headers."""
     value = params.get(name)
-    if (value is None and needed) or (value is not None and not TOKEN.fullmatch(value)):
+    if (value is None and required) or (value is not None and not TOKEN_PATTERN.fullmatch(value)):
         raise ValueError(name)
     return value
 
 
-def _line(number: Any, **told: Any) -> bytes:
-    return orjson.dumps({"jsonrpc": "2.0", "id": number, **told}) + b"\n"
+def _encode(request_id: Any, **members: Any) -> bytes:
+    return orjson.dumps({"jsonrpc": "2.0", "id": request_id, **members}) + b"\n"
 
 
-def returned(number: Any, rows: bytes) -> bytes:
-    return _line(number, result={"data": b64encode(rows).decode()})
+def returned(request_id: Any, rows: bytes) -> bytes:
+    return _encode(request_id, result={"data": b64encode(rows).decode()})
 
 
-def pushed_back(number: Any, retry_us: int) -> bytes:
-    told = {"data": {"pause": -(-retry_us // 1000)}} if retry_us else {}
-    return _line(number, error={"code": PUSHED_BACK, "message": "pushed back", **told})
+def pushed_back(request_id: Any, retry_us: int) -> bytes:
+    """Encode a pushed back answer, with the time after which the client may retry in ms, rounded up."""
+    retry = {"data": {"pause": -(-retry_us // 1000)}} if retry_us else {}
+    return _encode(request_id, error={"code": PUSHED_BACK, "message": "pushed back", **retry})
 
 
-def errored(number: Any, code: int = ERRORED) -> bytes:
-    return _line(number, error={"code": code, "message": "errored"})
+def errored(request_id: Any, code: int = ERRORED) -> bytes:
+    return _encode(request_id, error={"code": code, "message": "errored"})
 
 
-def healthy(number: Any, well: bool) -> bytes:
-    return _line(number, result={"healthy": well})
+def healthy(request_id: Any, is_healthy: bool) -> bytes:
+    """Encode the answer to a ping."""
+    return _encode(request_id, result={"healthy": is_healthy})
--- a/pathturn/wire/statement.py
+++ b/pathturn/wire/statement.py
@@ -1,4 +1,5 @@
-"""Which data set a statement touches: lexed, so that text in strings and comments cannot name one."""
+"""Finds the data set that a statement refers to. The statement is lexed, so that names in strings and
+comments do not count."""
 
 import re
 
@@ -10,35 +11,40 @@
       | (?P<other>\d[\w.]*|(?:[^\w\s'"`\[$/\#.-]|/(?!\*)|-(?!-))+|.)""",
     re.VERBOSE | re.DOTALL,
 )
-NUMBERED = re.compile(r"_(\d+)\Z")
-OPENERS = frozenset({"from", "join", "into", "update", "table", "using", "copy", "truncate"})
-SEPARATE = frozenset({"staging"})
+# A schema is named after its data set: sales_17 belongs to data set 17.
+NUMBER_SUFFIX = re.compile(r"_(\d+)\Z")
+# Keywords before a table's name.
+TABLE_KEYWORDS = frozenset({"from", "join", "into", "update", "table", "using", "copy", "truncate"})
+SCHEMAS_WITHOUT_DATA_SET = frozenset({"staging"})
 
 
-def _names(statement: str) -> list[str]:
-    """Names and single marks in order; a quoted name counts like a plain one."""
-    found = []
+def _tokens(statement: str) -> list[str]:
+    """Return the tokens without whitespace and comments: identifiers without their quotes, and each string
+    literal as an empty one."""
+    tokens = []
     for match in TOKEN.finditer(statement):
         kind, text = match.lastgroup, match.group()
         if kind == "quoted":
-            found.append(text[1:-1])
+            tokens.append(text[1:-1])
         elif kind in ("word", "other"):
-            found.append(text)
+            tokens.append(text)
         elif kind == "text":
-            found.append("''")
-    return found
+            tokens.append("''")
+    return tokens
 
 
 def data_set(statement: str) -> int:
-    """The number in the schema's name; a name behind FROM and the like goes before an alias; 0 if none."""
-    names, spare = _names(statement), 0
-    for at in range(len(names) - 1):
-        if names[at + 1] != "." or not (number := NUMBERED.search(names[at])):
+    """Return the number at the end of the schema's name, 0 if there is none. A qualified name behind FROM or
+    a similar keyword has precedence; one found elsewhere may be that of an alias."""
+    tokens = _tokens(statement)
+    fallback = 0
+    for at in range(len(tokens) - 1):
+        if tokens[at + 1] != "." or not (number := NUMBER_SUFFIX.search(tokens[at])):
             continue
-        before = names[at - 1].lower() if at else ""
-        if names[at].lower() in SEPARATE or before == ".":
+        before = tokens[at - 1].lower() if at else ""
+        if tokens[at].lower() in SCHEMAS_WITHOUT_DATA_SET or before == ".":
             continue
-        if before in OPENERS:
+        if before in TABLE_KEYWORDS:
             return int(number[1])
-        spare = spare or int(number[1])
-    return spare
+        fallback = fallback or int(number[1])
+    return fallback
--- a/tests/test_client_edges.py
+++ b/tests/test_client_edges.py
@@ -41,7 +41,7 @@
         return [
             each
             for each in rig.gateway.sessions.held
-            if not each.link.closed and each.link.getpeername() == client.getsockname()
+            if not each.socket.closed and each.socket.getpeername() == client.getsockname()
         ]
 
     until(found)
@@ -53,7 +53,7 @@
     client = socket.create_connection(rig.listen)
     client.sendall(line(1))
     session = session_of(rig, client)
-    until(lambda: session.taken and not session.answering)
+    until(lambda: session.taken and not session.answer_greenlets)
     return client, session
 
 
@@ -99,7 +99,7 @@
     gevent.sleep(0.05)
     assert verdicts == ["idle"] and rig.engines["e"].posted and len(rig.engines["e"].posted) == 1
     client.close()
-    until(lambda: session.link.closed)
+    until(lambda: session.socket.closed)
 
 
 def test_a_first_request_that_crosses_the_end_of_a_silent_connection_is_not_forwarded(
@@ -113,7 +113,7 @@
 
     def crossed(self, now):
         code = overdue(self, now)
-        if self is session and code == "silent":
+        if self is session and code == "no_request":
             client.sendall(line(1))
         return code
 
@@ -136,7 +136,7 @@
         client.sendall(line(1)[:half])
         until(lambda: len(session.lines.rest) == half)
         client.sendall(line(1)[half:])
-        session.heard_us = session.half_us = 0
+        session.heard_us = session.partial_line_since_us = 0
         rig.gateway.sessions.prune()  # in the same turn: nothing has been read in between
         assert [each["id"] for each in read_first(client)] == [1]
 
@@ -309,14 +309,14 @@
     shows in the pieces that are taken in a row."""
     rig.engine("e")
     rig.start()
-    take, taken = Session._take, []
+    take, taken = Session._process, []
 
     def counted(self, piece):
-        if not self.deaf:  # else it is thrown away unread
+        if not self.discarding_input:  # else it is thrown away unread
             taken.append(len(piece))
         take(self, piece)
 
-    monkeypatch.setattr(Session, "_take", counted)
+    monkeypatch.setattr(Session, "_process", counted)
     with poured(rig, FLOODS[kind]):
         gevent.sleep(0.05)
         spans = [Holds().watch(0.15, taken) for _ in range(3)]
@@ -359,8 +359,8 @@
     rig.start()
     client, most, count = socket.create_connection(rig.listen), [], 3 * MOST_OPEN
     session = session_of(rig, client)
-    batch = session.batch
-    session.batch = lambda *told: (batch(*told), most.append(len(session.open)))
+    batch = session.open_batch
+    session.open_batch = lambda *told: (batch(*told), most.append(len(session.open_batches)))
     client.sendall(b"".join(line(number) for number in range(1, count + 1)))
     answers, read = [], client.makefile("rb")
     with gevent.Timeout(5):
@@ -368,7 +368,7 @@
             answers.append(orjson.loads(read.readline()))
     assert sorted(each["id"] for each in answers) == list(range(1, count + 1))
     codes = [each["error"]["code"] for each in answers if "error" in each]
-    assert set(codes) <= {jsonrpc.TOO_MANY} and count - len(codes) >= MOST_OPEN
+    assert set(codes) <= {jsonrpc.TOO_MANY_OPEN} and count - len(codes) >= MOST_OPEN
     assert max(most) == MOST_OPEN
     read.close()
     client.close()
@@ -411,7 +411,7 @@
         peer, link = socket.socketpair()
         peers.append(peer)
         session = Session(link, facade, None, Buffers(), lambda: True, LONGEST_LINE)
-        session.proven = True
+        session.line_received = True
         return session
 
     for _ in range(clients):
@@ -438,7 +438,7 @@
         links = [plain.create_connection(rig.listen) for _ in range(count)]
         for each in links:
             each.sendall(PING % 1 + b'{"half')
-        until(lambda: sum(each.proven for each in rig.gateway.sessions.held) >= count)
+        until(lambda: sum(each.line_received for each in rig.gateway.sessions.held) >= count)
         gevent.sleep(0.03)  # each reader waits
         for each in links:
             each.close()
@@ -474,7 +474,7 @@
     with socket.socket() as client:
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(rig.listen)
-        session_of(rig, client).link.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        session_of(rig, client).socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         client.sendall(b"".join(line(number) for number in range(1, 5)))
         told = b""
         with gevent.Timeout(5):
@@ -523,7 +523,7 @@
     facade, decided = rig.gateway.facade, []
     follows = facade.follows
     facade.follows = lambda dispatch: follows(dispatch) or decided.append(dispatch)
-    with slow.writing:
+    with slow.write_lock:
         rig.call(2, "load", key="k", patience=5000)
         until(lambda: len(rig.engines["e"].posted) == 2)
         client.sendall(keyed(3, "k"))
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -119,7 +119,7 @@
     rig.call(1, "look", patience=1400)
     until(lambda: rig.engines["e"].posted)
     (slow,) = rig.gateway.sessions.held
-    with slow.writing:
+    with slow.write_lock:
         rig.say(id=2, method="none")
         gevent.sleep(0.05)
         rig.abort(1)
@@ -346,7 +346,7 @@
     cap = rig.gateway.sessions.cap
     client = socket.create_connection(rig.listen)
     client.sendall(line(1))
-    until(lambda: any(each.taken and not each.answering for each in rig.gateway.sessions.held))
+    until(lambda: any(each.taken and not each.answer_greenlets for each in rig.gateway.sessions.held))
     session = next(each for each in rig.gateway.sessions.held if each.taken)
     session.heard_us = 0  # idle for longest
     at_rest = type(session).at_rest
@@ -629,7 +629,7 @@
                 rig.returned(number)
             rig.asked("e", "POST", 4)
             link.sendall(line(2).replace(b'"look"', b'"load"'))
-            assert orjson.loads(answers.readline())["error"]["code"] == jsonrpc.UNKNOWN
+            assert orjson.loads(answers.readline())["error"]["code"] == jsonrpc.METHOD_NOT_FOUND
     finally:
         second.server.stop(0)
         second.parts.kill()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -353,21 +353,21 @@
 
 def test_connections_without_use_end_and_those_with_work_or_half_a_line_stay() -> None:
     session = Session.__new__(Session)
-    session.link, client = socket.socketpair()
-    session.answering, session.lines, session.proven = set(), jsonrpc.Lines(100), True
-    session.heard_us = session.half_us = 0
+    session.socket, client = socket.socketpair()
+    session.answer_greenlets, session.lines, session.line_received = set(), jsonrpc.Lines(100), True
+    session.heard_us = session.partial_line_since_us = 0
     assert session.overdue(4_500_000) is None and session.overdue(5_500_000) == "idle" and session.at_rest()
     client.send(b"unread")  # closed now, the system would reset it, and the batch in it be lost
     assert session.overdue(5_500_000) is None and not session.at_rest()
-    session.link.recv(9)
+    session.socket.recv(9)
     list(session.lines.feed(memoryview(b"half")))
-    assert session.overdue(2_500_000) == "half_line" and not session.at_rest()
-    session.answering.add(1)
+    assert session.overdue(2_500_000) == "partial_line" and not session.at_rest()
+    session.answer_greenlets.add(1)
     assert session.overdue(9_000_000) is None and not session.at_rest()
 
 
 def test_a_client_that_never_reads_does_not_hold_its_writer(rig, monkeypatch) -> None:
-    monkeypatch.setattr("pathturn.wire.clients.WRITE_S", 0.2)
+    monkeypatch.setattr("pathturn.wire.clients.WRITE_TIMEOUT_S", 0.2)
     rig.start()
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
@@ -377,7 +377,7 @@
     session = Session(ours, rig.gateway.facade, None, None, None, 100)
     with gevent.Timeout(2):
         session._write(bytes(1 << 23))
-    assert session.code == "unread" and ours.closed
+    assert session.code == "client_not_reading" and ours.closed
     theirs.close()
 
 
@@ -548,7 +548,7 @@
     rig.call(1, "load", key="first")
     rig.returned(1)
     (slow,) = rig.gateway.sessions.held
-    with slow.writing:
+    with slow.write_lock:
         rig.call(2, "load", key="k", patience=3000)
         gevent.sleep(0.2)
         rig.connect()
