--- a/pathturn/wire/clients.py
+++ b/pathturn/wire/clients.py
@@ -34,15 +34,15 @@
 # A client that sends no complete line, or does not read, has to be disconnected within 3 s of connecting.
 LINE_TIMEOUT_S = 2.0
 WRITE_TIMEOUT_S = 2.0
-# Rate limit of a connection: each line costs 1 ms, and each rejected one 50 ms more, because rejected
-# requests are often sent again at once. Beyond the burst its reader pauses; other connections are not
-# delayed.
+# Rate limit of a connection: each line costs 1 ms, and each rejected request 50 ms more, as these are often
+# sent again at once. Beyond the burst the reader of the connection pauses, and the other connections have
+# their share of the event loop.
 LINE_COST_US = 1_000
 REJECTION_COST_US = 50_000
 BURST_US = 100_000
 MAX_PAUSE_US = 500_000
-# A connection with an abort in its read-ahead pauses only this long. Not reading it at once keeps the limit
-# effective for a flood with an abort in each piece.
+# The longest pause with an abort in the read-ahead. It is not zero, as each piece of a flood may hold an
+# abort.
 ABORT_PAUSE_US = 10_000
 ABORT_METHOD = b'"abort"'
 # How often a connection that is not being read is polled for the client's close: the batches of a client that
@@ -63,24 +63,25 @@
 
     def __init__(
         self,
-        link: socket.socket,
+        sock: socket.socket,
         facade: Facade,
         send: Callable[[Dispatch], None],
         buffers: Buffers,
         is_ready: Callable[[], bool],
         max_line_bytes: int,
     ) -> None:
-        self.socket = link
+        self.socket = sock
         self.facade = facade
         self.send = send
         self.buffers = buffers
         self.is_ready = is_ready
-        self.reader = SocketReader(link)
+        self.reader = SocketReader(sock)
         self.write_lock = RLock()
         self.open_batches: dict[int, Batch] = {}
         self.answer_greenlets = Group()
         self.taken = 0
         self.lines = jsonrpc.Lines(max_line_bytes)
+        # The reason code for the end of the connection, as it is logged.
         self.code = ""
         self.last_request_id = 0
         self.rejections = 0
@@ -105,24 +106,24 @@
             self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             try:
                 return self._read_until_closed()
-            except jsonrpc.Unusable as fault:
+            except jsonrpc.Unusable as error:
                 self.reject(None, jsonrpc.PARSE_ERROR)
-                return self._close_gracefully(str(fault))
+                return self._close_gracefully(str(error))
             except OSError:
                 raise
-            except Exception as fault:  # noqa: BLE001 - whatever a client sent must end its own connection alone
-                return self._close_gracefully(f"fault_{type(fault).__name__}")
-        except OSError as fault:
-            return self.code or f"lost_{type(fault).__name__}"
+            except Exception as error:  # noqa: BLE001 - whatever a client sent must end its own connection alone
+                return self._close_gracefully(f"fault_{type(error).__name__}")
+        except OSError as error:
+            return self.code or f"lost_{type(error).__name__}"
         finally:
             for batch in list(self.open_batches.values()):
                 self.facade.leave(batch)
             self._close_socket()
 
     def end(self, code: str) -> None:
-        """Close the connection; its reader wakes up and returns `code`. Use this only when no answer can
-        still be in transit: if input is unread, the operating system resets the connection and discards
-        them."""
+        """Close the connection; its reader wakes up and returns `code`. This is only for connections without
+        an answer in transit: if input is unread, the operating system resets the connection, and such an
+        answer is lost."""
         self.code = self.code or code
         self._close_socket()
 
@@ -190,6 +191,7 @@
             gevent.sleep(0)
 
     def _read_until_closed(self) -> str:
+        """Process input until the client closes the connection; return the reason code."""
         while True:
             if self.lines.read_ahead:
                 piece = bytes(self.lines.read_ahead[:SIZE])
@@ -200,12 +202,14 @@
                     if not (size := self.reader.receive_into(buffer)):
                         return self.code or "client_closed"
                     self._process(buffer[:size])
-            # Also without a pause for the rate limit: a socket that always has input would starve the others.
+            # Also when the rate limit asks for no pause: a socket that always has input would starve the
+            # others.
             gevent.sleep(0)
             if not self._pause():
                 return self.code or "client_closed"
 
     def _process(self, piece: memoryview) -> None:
+        """Handle the lines that a piece of input completes, and charge them to the rate limit."""
         if self.discarding_input:
             return  # by the protocol a client resends elsewhere what crosses the gateway's half-close
         rejections_before = self.rejections
@@ -225,9 +229,10 @@
         self.rate_limited_until_us += (self.rejections - rejections_before) * REJECTION_COST_US
 
     def _pause(self) -> bool:
-        """Wait until the connection is within its rate limit again. Meanwhile input is read ahead as far as
-        there is room, since the client's close counts at once and aborts count soon. Return whether to go on
-        reading: False if the client has closed."""
+        """Wait until the connection is within its rate limit again. Return whether to go on reading: False if
+        the client has closed. Meanwhile input is read ahead as far as there is room, as the client's close
+        takes effect at once and an abort after ABORT_PAUSE_US. Once input is discarded, before the
+        half-close, only the client's close matters."""
         if self.discarding_input:
             if not self.parted_us:
                 gevent.sleep(CLOSE_POLL_US / 1e6)
@@ -256,12 +261,12 @@
             try:
                 with gevent.Timeout(WRITE_TIMEOUT_S, TimeoutError):
                     self.socket.sendall(line)
-            except OSError as fault:
+            except OSError as error:
                 # The reader wakes up, and the reason is logged when it returns.
                 self.end(
                     "client_not_reading"
-                    if isinstance(fault, TimeoutError)
-                    else f"lost_{type(fault).__name__}"
+                    if isinstance(error, TimeoutError)
+                    else f"lost_{type(error).__name__}"
                 )
 
     def _queue_reply(self, line: bytes) -> None:
--- a/pathturn/wire/door.py
+++ b/pathturn/wire/door.py
@@ -25,9 +25,9 @@
         self.admit = admit
         self.serve_connection = serve
 
-    def do_handle(self, link: socket.socket, peer: Any) -> None:
-        if (admitted := self.admit(link, peer)) is None:
-            link.close()
+    def do_handle(self, sock: socket.socket, peer: Any) -> None:
+        if (admitted := self.admit(sock, peer)) is None:
+            sock.close()
         else:
             gevent.spawn(self.serve_connection, admitted, peer)
 
--- a/pathturn/wire/jsonrpc.py
+++ b/pathturn/wire/jsonrpc.py
@@ -72,8 +72,8 @@
     at once."""
     try:
         message = orjson.loads(line)
-    except orjson.JSONDecodeError as fault:
-        raise Unusable("malformed_line") from fault
+    except orjson.JSONDecodeError as error:
+        raise Unusable("malformed_line") from error
     if type(message) is not dict:
         raise Unusable("malformed_line")
     request_id = message.get("id")
--- a/pathturn/wire/reader.py
+++ b/pathturn/wire/reader.py
@@ -15,9 +15,9 @@
     descriptor is released only in a later iteration of the event loop; after `cancel` it is released at
     once."""
 
-    def __init__(self, link: socket.socket) -> None:
-        self.socket = link
-        self.watcher = get_hub().loop.io(link.fileno(), READ_EVENT)
+    def __init__(self, sock: socket.socket) -> None:
+        self.socket = sock
+        self.watcher = get_hub().loop.io(sock.fileno(), READ_EVENT)
         self.waiter: Waiter | None = None
         self.cancelled = False
 
