--- a/pathturn/background/__init__.py
+++ b/pathturn/background/__init__.py
@@ -0,0 +1,1 @@
+"""Background jobs that run in time slices between decision rounds."""
--- a/pathturn/background/scheduler.py
+++ b/pathturn/background/scheduler.py
@@ -16,16 +16,14 @@
 from pathturn.background.job_selection import CpuBudget, QueuedJob, deadline_is_near, select_job
 
 CPU_SHARE = 0.25  # of one core
-CPU_BURST_US = 20_000
+CPU_BURST_US = 20_000  # CPU time that may be saved up while no job runs
 TIME_SLICE_US = 1_000  # a job is suspended at its first yield after this
 GC_FREEZE_THRESHOLD_US = 300  # shorter slices leave too few objects to matter
-DEADLINE_NEAR_US = (
-    200_000  # a job this close to its deadline is exempt from priorities and from the CPU budget
-)
+# A job this close to its deadline runs regardless of priorities, the CPU budget and waiting traffic.
+DEADLINE_NEAR_US = 200_000
 MIN_PAUSE_S = 0.001
-MAX_DEFERRALS = (
-    50  # consecutive slices deferred for traffic: jobs must progress in a gateway that is always busy
-)
+# Consecutive slices deferred for traffic; limited so that jobs progress even if the gateway is always busy.
+MAX_DEFERRALS = 50
 MAX_JOBS = 64
 
 
@@ -53,7 +51,7 @@
     """Runs submitted jobs one time slice at a time, in the greenlet that calls `run`."""
 
     def __init__(self, clock: Callable[[], int], traffic_waiting: Callable[[], bool] = lambda: False) -> None:
-        """While `traffic_waiting` returns true, only jobs whose deadline is near run."""
+        """Slices are deferred while `traffic_waiting` returns true, unless the job has a near deadline."""
         self.clock = clock
         self.traffic_waiting = traffic_waiting
         self.job_ids = count()
