--- a/pathturn/background/scheduler.py
+++ b/pathturn/background/scheduler.py
@@ -91,35 +91,35 @@
             self.run_slice()
 
     def _pause_s(self) -> float:
-        now = self.clock()
-        if any(deadline_is_near(job.queued, now, DEADLINE_NEAR_US) for job in self.jobs.values()):
+        now_us = self.clock()
+        if any(deadline_is_near(job.queued, now_us, DEADLINE_NEAR_US) for job in self.jobs.values()):
             return MIN_PAUSE_S
-        return max(MIN_PAUSE_S, self.cpu_budget.time_until_available(now) / 1e6)
+        return max(MIN_PAUSE_S, self.cpu_budget.time_until_available(now_us) / 1e6)
 
     def run_slice(self) -> bool:
         """Cancel jobs past their deadline, then run one time slice; return whether a job ran."""
-        now = self.clock()
+        now_us = self.clock()
         for job in [
             each
             for each in self.jobs.values()
-            if each.queued.deadline_us is not None and each.queued.deadline_us <= now
+            if each.queued.deadline_us is not None and each.queued.deadline_us <= now_us
         ]:
             self.cancel(job, "deadline exceeded")
-        selected = select_job((job.queued for job in self.jobs.values()), now, DEADLINE_NEAR_US)
+        selected = select_job((job.queued for job in self.jobs.values()), now_us, DEADLINE_NEAR_US)
         if selected is None:
             return False
         if (
             self.traffic_waiting()
-            and not deadline_is_near(selected, now, DEADLINE_NEAR_US)
+            and not deadline_is_near(selected, now_us, DEADLINE_NEAR_US)
             and self.deferrals < MAX_DEFERRALS
         ):
             self.deferrals += 1
             return False
         self.deferrals = 0
-        self._run_job(self.jobs[selected.job_id], now)
+        self._run_job(self.jobs[selected.job_id], now_us)
         return True
 
-    def _run_job(self, job: Job, now: int) -> None:
+    def _run_job(self, job: Job, now_us: int) -> None:
         started_ns, end_ns = thread_time_ns(), thread_time_ns() + TIME_SLICE_US * 1000
         # A garbage collection over all objects of a long job takes longer than a time slice, and could also
         # start in the middle of a decision round. Collection is therefore off during the slice, and what the
@@ -131,9 +131,9 @@
         except StopIteration as done:
             self._remove(job)
             job.result.set(done.value)
-        except Exception as fault:  # noqa: BLE001 - passed on to whoever waits for the result of this job
+        except Exception as error:  # noqa: BLE001 - passed on to whoever waits for the result of this job
             self._remove(job)
-            job.result.set_exception(fault)
+            job.result.set_exception(error)
         finally:
             used_us = (thread_time_ns() - started_ns) // 1000
             if used_us > GC_FREEZE_THRESHOLD_US:
--- a/pathturn/routing/limits.py
+++ b/pathturn/routing/limits.py
@@ -1,5 +1,5 @@
-"""The operator's limits: whether one more batch or dispatch is allowed. The decision module asks, and decides
-what happens to a batch that is over a limit.
+"""The operator's limits: whether one more batch or dispatch is allowed. The dispatcher asks, and decides what
+happens to a batch that is over a limit.
 
 A meter counts usage; a limiter applies the values of one generation to a meter. Meters survive a change of
 the values, so that neither a change nor its undo resets the usage of a limit.
@@ -41,40 +41,40 @@
         self.interval_us = 1e6 / limit.rate if limit.rate else 0.0
         self.burst_tolerance_us = self.interval_us * (max(1, limit.burst) - 1)
 
-    def retry_after_us(self, now: int) -> int | None:
+    def retry_after_us(self, now_us: int) -> int | None:
         """Return None if one more batch is allowed, else the microseconds to wait; 0 if that is unknown."""
-        if self.interval_us and self.meter.theoretical_arrival_us - now > self.burst_tolerance_us:
-            return max(1, int(self.meter.theoretical_arrival_us - now - self.burst_tolerance_us))
+        if self.interval_us and self.meter.theoretical_arrival_us - now_us > self.burst_tolerance_us:
+            return max(1, int(self.meter.theoretical_arrival_us - now_us - self.burst_tolerance_us))
         return 0 if self.limit.open is not None and self.meter.open_batches >= self.limit.open else None
 
-    def batch_admitted(self, now: int, is_new: bool) -> None:
+    def batch_admitted(self, now_us: int, is_new: bool) -> None:
         """Count an open batch; `is_new` is False for one that moves here from another generation."""
         self.meter.open_batches += 1
         if is_new:
-            self.meter.window.add(now, 1, 0)
+            self.meter.window.add(now_us, 1, 0)
             if self.interval_us:
                 self.meter.theoretical_arrival_us = (
-                    max(self.meter.theoretical_arrival_us, now) + self.interval_us
+                    max(self.meter.theoretical_arrival_us, now_us) + self.interval_us
                 )
 
     def batch_closed(self) -> None:
         """Count the end of an open batch."""
         self.meter.open_batches -= 1
 
-    def allows_dispatch(self, now: int, is_retry: bool) -> bool:
+    def allows_dispatch(self, now_us: int, is_retry: bool) -> bool:
         """Return whether one more dispatch is allowed."""
         if self.limit.out is not None and self.meter.dispatches_in_flight >= self.limit.out:
             return False
         if not is_retry or self.limit.further is None:
             return True
-        batches, retries = self.meter.window.sums(now)
+        batches, retries = self.meter.window.sums(now_us)
         return retries + 1 <= FREE_RETRIES + self.limit.further * batches
 
-    def dispatch_sent(self, now: int, is_retry: bool) -> None:
+    def dispatch_sent(self, now_us: int, is_retry: bool) -> None:
         """Count a dispatch in flight."""
         self.meter.dispatches_in_flight += 1
         if is_retry:
-            self.meter.window.add(now, 0, 1)
+            self.meter.window.add(now_us, 0, 1)
 
     def dispatch_done(self) -> None:
         """Count the outcome of a dispatch."""
--- a/pathturn/routing/table.py
+++ b/pathturn/routing/table.py
@@ -25,7 +25,7 @@
 
 
 class Destination:
-    """The pool and the limits of one generation that apply to a batch; queried by the decision module."""
+    """The pool and the limits of one generation that apply to a batch; queried by the dispatcher."""
 
     __slots__ = ("generation", "route", "pool", "limiters")
 
@@ -38,26 +38,26 @@
     def allows_engine(self, engine: int) -> bool:
         return engine in self.pool.eligible
 
-    def retry_after_us(self, now: int) -> int | None:
+    def retry_after_us(self, now_us: int) -> int | None:
         delays = [
-            delay_us for limiter in self.limiters if (delay_us := limiter.retry_after_us(now)) is not None
+            delay_us for limiter in self.limiters if (delay_us := limiter.retry_after_us(now_us)) is not None
         ]
         return max(delays, default=None)
 
-    def batch_admitted(self, now: int, is_new: bool = True) -> None:
+    def batch_admitted(self, now_us: int, is_new: bool = True) -> None:
         for limiter in self.limiters:
-            limiter.batch_admitted(now, is_new)
+            limiter.batch_admitted(now_us, is_new)
 
     def batch_closed(self) -> None:
         for limiter in self.limiters:
             limiter.batch_closed()
 
-    def allows_dispatch(self, now: int, is_retry: bool) -> bool:
-        return all(limiter.allows_dispatch(now, is_retry) for limiter in self.limiters)
+    def allows_dispatch(self, now_us: int, is_retry: bool) -> bool:
+        return all(limiter.allows_dispatch(now_us, is_retry) for limiter in self.limiters)
 
-    def dispatch_sent(self, now: int, is_retry: bool) -> None:
+    def dispatch_sent(self, now_us: int, is_retry: bool) -> None:
         for limiter in self.limiters:
-            limiter.dispatch_sent(now, is_retry)
+            limiter.dispatch_sent(now_us, is_retry)
 
     def dispatch_done(self) -> None:
         for limiter in self.limiters:
@@ -146,7 +146,7 @@
     def free(self) -> Iterator[None]:
         """Free a table that is no longer in use, in slices; it is unusable afterwards.
 
-        Courses that batches still hold stay valid.
+        Destinations that batches still hold stay valid.
         """
         yield from self.index.free()
         routes, self.document = list(self.document.routes), None
