--- a/pathturn/control/server.py
+++ b/pathturn/control/server.py
@@ -12,7 +12,7 @@
 
 from pathturn.config.read import LARGEST
 from pathturn.control.protocol import MALFORMED, Calls, fault_line
-from pathturn.wire.jsonrpc import Lines, Unusable
+from pathturn.wire.jsonrpc import LineSplitter, StreamError
 
 MOST_PEERS = 8
 LONGEST_LINE = LARGEST + 4096  # a document, and what a call puts around it
@@ -39,20 +39,20 @@
 
     def _peer(self, link: socket.socket, _: object) -> None:
         answered, code = 0, "closed"
-        lines = Lines(LONGEST_LINE)
+        lines = LineSplitter(LONGEST_LINE)
         try:
-            while piece := self._receive(link, bool(lines.rest)):
+            while piece := self._receive(link, bool(lines.partial)):
                 for line in lines.feed(memoryview(piece)):
                     answer = self.calls.answer(line)  # a large document takes its time
                     with gevent.Timeout(WRITE_S, TimeoutError):
                         link.sendall(answer)
                     answered += 1
                 gevent.sleep(0)
-        except Unusable as fault:
+        except StreamError as fault:
             code = str(fault)
             self._last_word(link, code)
         except TimeoutError:
-            code = "half_line" if lines.rest else "idle"
+            code = "half_line" if lines.partial else "idle"
         except OSError as fault:
             code = f"lost_{type(fault).__name__}"
         finally:
--- a/pathturn/memory/batches.py
+++ b/pathturn/memory/batches.py
@@ -21,7 +21,7 @@
 class Source(Protocol):
     """The client connection that a batch came from; callers without one pass None."""
 
-    def catch_up(self) -> None: ...
+    def read_pending_input(self) -> None: ...
 
 
 class Batch:
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -207,7 +207,7 @@
         sent; what the client has sent until then is read first.
         """
         if (source := dispatch.batch.source) is not None and not dispatch.batch.over:
-            source.catch_up()
+            source.read_pending_input()
         if dispatch.batch.over or dispatch.engine not in self.roster.ready:
             return False
         return self.dispatcher.may_start(dispatch.batch.index, self.clock())
--- a/pathturn/memory/sessions.py
+++ b/pathturn/memory/sessions.py
@@ -7,13 +7,13 @@
 class Held(Protocol):
     """A client connection as `Sessions` manages it."""
 
-    heard_us: int
-    parted_us: int
+    last_active_us: int
+    half_closed_us: int
 
-    def at_rest(self) -> bool: ...
-    def overdue(self, now: int) -> str | None: ...
-    def end(self, code: str) -> None: ...
-    def part(self, code: str) -> None: ...
+    def safe_to_close(self) -> bool: ...
+    def timeout_reason(self, now: int) -> str | None: ...
+    def close(self, code: str) -> None: ...
+    def half_close(self, code: str) -> None: ...
 
 
 class Sessions:
@@ -47,8 +47,8 @@
         Checked in order of idle time: checking a socket costs far more than sorting, and a hundred
         connections may be accepted in one iteration of the event loop.
         """
-        by_idle_time = sorted(self.held, key=lambda each: each.heard_us)
-        return next((each for each in by_idle_time if each.at_rest()), None)
+        by_idle_time = sorted(self.held, key=lambda each: each.last_active_us)
+        return next((each for each in by_idle_time if each.safe_to_close()), None)
 
     def leave(self, session: Held) -> None:
         """Remove a connection that has ended."""
@@ -60,31 +60,31 @@
 
     def busy(self) -> bool:
         """Return whether closing all connections now would lose anything."""
-        return not all(each.at_rest() for each in self.held)
+        return not all(each.safe_to_close() for each in self.held)
 
     def part(self, code: str) -> None:
         """Half-close all connections."""
         for each in list(self.held):
-            each.part(code)
+            each.half_close(code)
 
     def prune(self) -> None:
         """Close the connections whose idle, read or linger timeout has expired."""
         now = self.clock()
         for session in [*self.held, *self.parting]:
-            if (code := session.overdue(now)) is not None:
+            if (code := session.timeout_reason(now)) is not None:
                 self._close(session, code)
 
     def _close(self, session: Held, code: str) -> None:
         """Half-close a connection, or close it fully if it is half-closed already. Beyond the limit the
         connection half-closed for longest is closed fully too."""
-        if session.parted_us:
+        if session.half_closed_us:
             self.leave(session)
-            session.end(code)
+            session.close(code)
             return
         self.held.discard(session)
         self.parting[session] = None
-        session.part(code)
+        session.half_close(code)
         if len(self.parting) > self.most_parting:
             oldest = next(iter(self.parting))
             self.leave(oldest)
-            oldest.end(code)
+            oldest.close(code)
--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -20,10 +20,10 @@
 from pathturn.process.log import Log
 from pathturn.process.settings import build
 from pathturn.wire import directory
-from pathturn.wire.clients import Session
-from pathturn.wire.door import Door
+from pathturn.wire.clients import ClientConnection
 from pathturn.wire.engines import Engines
 from pathturn.wire.line import Line
+from pathturn.wire.listener import ClientListener
 from pathturn.wire.lookup import Lookup
 
 if TYPE_CHECKING:
@@ -103,7 +103,7 @@
             self.operator = operator.Operator(
                 installation, self.facade, settings, client_limit, self.clock, self.log
             )
-        self.server = Door(directory.address(config["listen"]), self._admit, self._serve_client)
+        self.server = ClientListener(directory.address(config["listen"]), self._admit, self._serve_client)
 
     def run(self) -> None:
         """Serve until a stop is requested, then shut down; the server must have been started."""
@@ -152,8 +152,8 @@
             except Exception:  # noqa: BLE001 - the other batches must be answered whatever went wrong
                 self.log("round failed: " + traceback.format_exc().replace("\n", " | "))
 
-    def _admit(self, link: socket.socket, peer: tuple[str, int]) -> Session | None:
-        session = Session(
+    def _admit(self, link: socket.socket, peer: tuple[str, int]) -> ClientConnection | None:
+        connection = ClientConnection(
             link,
             self.facade,
             self.engines.send,
@@ -161,15 +161,15 @@
             lambda: not self.asked_to_stop.is_set(),
             self.longest_line,
         )
-        if self.sessions.enter(session):
-            return session
+        if self.sessions.enter(connection):
+            return connection
         self.log(f"client {peer[0]}:{peer[1]} batches=0 code=connection_limit")
         return None
 
-    def _serve_client(self, session: Session, peer: tuple[str, int]) -> None:
-        code = session.serve()
-        self.sessions.leave(session)
-        self.log(f"client {peer[0]}:{peer[1]} batches={session.taken} code={code}")
+    def _serve_client(self, connection: ClientConnection, peer: tuple[str, int]) -> None:
+        code = connection.serve()
+        self.sessions.leave(connection)
+        self.log(f"client {peer[0]}:{peer[1]} batches={connection.batches_received} code={code}")
 
     def _heartbeat_loop(self) -> None:
         while True:
@@ -200,7 +200,7 @@
 
     def _close_listener(self) -> None:
         try:
-            self.server.close_after_all()
+            self.server.accept_pending_and_close()
         except OSError as fault:
             self.log(f"listener code=lost_{type(fault).__name__}")
 
--- a/pathturn/process/operator.py
+++ b/pathturn/process/operator.py
@@ -16,7 +16,7 @@
 from pathturn.memory.facade import Facade
 from pathturn.process.settings import further_share
 from pathturn.routing.checks import ValidationContext
-from pathturn.wire.clients import MOST_OPEN
+from pathturn.wire.clients import MAX_OPEN_BATCHES
 
 
 class Operator:
@@ -33,7 +33,7 @@
     ) -> None:
         """Raise an exception if the files can't be used; nothing is in force then."""
         self.facade = facade
-        self.max_open_batches = clients * MOST_OPEN
+        self.max_open_batches = clients * MAX_OPEN_BATCHES
         self.retry_share = further_share(settings)
         # Events that wait for a round count as traffic, and background jobs wait for them.
         self.scheduler = Scheduler(clock, lambda: bool(facade.events))
--- a/pathturn/wire/clients.py
+++ b/pathturn/wire/clients.py
@@ -15,12 +15,12 @@
 from pathturn.memory.buffers import SIZE, Buffers
 from pathturn.memory.facade import Facade
 from pathturn.wire import jsonrpc
-from pathturn.wire.line import hung_up, quiet
+from pathturn.wire.line import nothing_to_read, peer_closed
 from pathturn.wire.reader import SocketReader
 from pathturn.wire.statement import data_set
 
 # The protocol's limit for one connection.
-MOST_OPEN = 32
+MAX_OPEN_BATCHES = 32
 # By the protocol, clients close a connection themselves after 4 s without traffic.
 IDLE_TIMEOUT_S = 5.0
 # By the protocol a client writes the batches of one key 60 ms apart, and the patience of a batch counts from
@@ -58,7 +58,7 @@
 HALF_CLOSE_TIMEOUT_US = 500_000
 
 
-class Session:
+class ClientConnection:
     """A client's connection: reads its requests, starts its batches and writes their answers."""
 
     def __init__(
@@ -79,13 +79,13 @@
         self.write_lock = RLock()
         self.open_batches: dict[int, Batch] = {}
         self.answer_greenlets = Group()
-        self.taken = 0
-        self.lines = jsonrpc.Lines(max_line_bytes)
+        self.batches_received = 0
+        self.lines = jsonrpc.LineSplitter(max_line_bytes)
         # The reason code for the end of the connection, as it is logged.
         self.code = ""
         self.last_request_id = 0
         self.rejections = 0
-        self.heard_us = facade.clock()
+        self.last_active_us = facade.clock()
         self.partial_line_since_us = 0
         self.line_received = False
         # The time up to which the lines read so far use up the connection's rate limit.
@@ -94,7 +94,7 @@
         self.queued_reply_bytes = 0
 
     # When the gateway closed its side; 0 while it is open.
-    parted_us = 0
+    half_closed_us = 0
     # Whether further input is discarded.
     discarding_input = False
     # Whether a timeout was deferred once because unread input lay in the socket.
@@ -106,7 +106,7 @@
             self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             try:
                 return self._read_until_closed()
-            except jsonrpc.Unusable as error:
+            except jsonrpc.StreamError as error:
                 self.reject(None, jsonrpc.PARSE_ERROR)
                 return self._close_gracefully(str(error))
             except OSError:
@@ -120,7 +120,7 @@
                 self.facade.leave(batch)
             self._close_socket()
 
-    def end(self, code: str) -> None:
+    def close(self, code: str) -> None:
         """Close the connection; its reader wakes up and returns `code`. This is only for connections without
         an answer in transit: if input is unread, the operating system resets the connection, and such an
         answer is lost."""
@@ -131,13 +131,13 @@
         self.reader.cancel()
         self.socket.close()
 
-    def part(self, code: str) -> None:
+    def half_close(self, code: str) -> None:
         """Half-close the connection: close the sending direction and discard input up to the client's close.
         A full close with unread input makes the operating system reset the connection, and the client would
         lose the answers that it has not read yet."""
         self.code = self.code or code
         self.discarding_input = True
-        self.parted_us = self.parted_us or self.facade.clock()
+        self.half_closed_us = self.half_closed_us or self.facade.clock()
         with suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
 
@@ -152,41 +152,45 @@
     def _half_close_when_answered(self) -> None:
         self.answer_greenlets.join()
         if not self.socket.closed:
-            self.part(self.code)
+            self.half_close(self.code)
 
-    def at_rest(self) -> bool:
+    def safe_to_close(self) -> bool:
         """Whether the connection can be closed without loss: no answer is pending or being written, and a
         client that has sent a complete line before has no request in transit (a partial line, or unread
         input)."""
         return not self.answer_greenlets and not (
-            self.line_received and (self.lines.has_input or not quiet(self.socket))
+            self.line_received and (self.lines.has_input or not nothing_to_read(self.socket))
         )
 
-    def overdue(self, now: int) -> str | None:
+    def timeout_reason(self, now: int) -> str | None:
         """Return the reason code if the connection has exceeded one of its timeouts, else None."""
-        if self.parted_us:
-            return "half_close_timeout" if now - self.parted_us > HALF_CLOSE_TIMEOUT_US else None
+        if self.half_closed_us:
+            return "half_close_timeout" if now - self.half_closed_us > HALF_CLOSE_TIMEOUT_US else None
         if self.answer_greenlets:
             return None
-        idle_s = (now - self.heard_us) / 1e6
+        idle_s = (now - self.last_active_us) / 1e6
         no_request = not self.line_received and idle_s > LINE_TIMEOUT_S
-        partial_line = bool(self.lines.rest) and (now - self.partial_line_since_us) / 1e6 > LINE_TIMEOUT_S
+        partial_line = bool(self.lines.partial) and (now - self.partial_line_since_us) / 1e6 > LINE_TIMEOUT_S
         if no_request or partial_line:
             # After a stall of this process, input that arrived in time may be unread: it is read before the
             # next check.
-            if not self.timeout_deferred and not quiet(self.socket):
+            if not self.timeout_deferred and not nothing_to_read(self.socket):
                 self.timeout_deferred = True
                 return None
             return "no_request" if no_request else "partial_line"
         self.timeout_deferred = False
-        return "idle" if not self.lines.has_input and idle_s > IDLE_TIMEOUT_S and quiet(self.socket) else None
+        return (
+            "idle"
+            if not self.lines.has_input and idle_s > IDLE_TIMEOUT_S and nothing_to_read(self.socket)
+            else None
+        )
 
-    def catch_up(self) -> None:
+    def read_pending_input(self) -> None:
         """Let the reader process the input that lies in the socket. This is called before a dispatch of one
         of the client's batches begins, as a close or an abort may have arrived before: after a stall of this
         process the event loop may look at a new connection to an engine first."""
         for _ in range(READER_ITERATIONS):
-            if quiet(self.socket):
+            if nothing_to_read(self.socket):
                 return
             gevent.sleep(0)
 
@@ -213,14 +217,14 @@
         if self.discarding_input:
             return  # by the protocol a client resends elsewhere what crosses the gateway's half-close
         rejections_before = self.rejections
-        had_partial_line = bool(self.lines.rest)
+        had_partial_line = bool(self.lines.partial)
         line_count = bytes(piece).count(b"\n")  # with empty lines, as they take time too
         for line in self.lines.feed(piece):
             self.line_received = True
             had_partial_line = False
-            self.heard_us = self.facade.clock()
+            self.last_active_us = self.facade.clock()
             jsonrpc.handle_line(line, self)
-        if self.lines.rest and not had_partial_line:
+        if self.lines.partial and not had_partial_line:
             self.partial_line_since_us = self.facade.clock()
         now = self.facade.clock()
         self.rate_limited_until_us = (
@@ -234,9 +238,9 @@
         takes effect at once and an abort after ABORT_PAUSE_US. Once input is discarded, before the
         half-close, only the client's close matters."""
         if self.discarding_input:
-            if not self.parted_us:
+            if not self.half_closed_us:
                 gevent.sleep(CLOSE_POLL_US / 1e6)
-            return self.parted_us > 0 or not hung_up(self.socket)
+            return self.half_closed_us > 0 or not peer_closed(self.socket)
         until_us = min(self.rate_limited_until_us, self.facade.clock() + MAX_PAUSE_US)
         abort_until_us = min(until_us, self.facade.clock() + ABORT_PAUSE_US)
         while not self.discarding_input:
@@ -245,7 +249,7 @@
             if left_us <= 0:
                 break
             if not (room := min(SIZE, self.lines.read_ahead_room)):
-                if hung_up(self.socket):
+                if peer_closed(self.socket):
                     return False
                 gevent.sleep(min(left_us, CLOSE_POLL_US) / 1e6)
                 continue
@@ -263,7 +267,7 @@
                     self.socket.sendall(line)
             except OSError as error:
                 # The reader wakes up, and the reason is logged when it returns.
-                self.end(
+                self.close(
                     "client_not_reading"
                     if isinstance(error, TimeoutError)
                     else f"lost_{type(error).__name__}"
@@ -275,7 +279,7 @@
         self.queued_replies.append(line)
         self.queued_reply_bytes += len(line)
         if self.queued_reply_bytes > MAX_QUEUED_REPLY_BYTES:
-            self.end("client_not_reading")
+            self.close("client_not_reading")
         elif self.queued_reply_bytes == len(line):
             self.answer_greenlets.spawn(self._write_queued_replies)
 
@@ -299,7 +303,7 @@
             self.open_batches.pop(request_id)
             self.reject(request_id, jsonrpc.INVALID_REQUEST)
             return False
-        if not self.last_request_id < request_id <= self.last_request_id + MOST_OPEN:
+        if not self.last_request_id < request_id <= self.last_request_id + MAX_OPEN_BATCHES:
             # Under an id used before, the error could be taken for the answer to that request.
             self.reject(request_id if request_id > self.last_request_id else None, jsonrpc.INVALID_REQUEST)
             return False
@@ -333,7 +337,7 @@
         statement: bytes,
     ) -> None:
         """Pass a batch on to the decision module and start the greenlet that serves it."""
-        if len(self.open_batches) >= MOST_OPEN:
+        if len(self.open_batches) >= MAX_OPEN_BATCHES:
             self.reject(request_id, jsonrpc.TOO_MANY_OPEN)
             return
         if self.facade.is_open(ticket):
@@ -357,7 +361,7 @@
             statement,
         )
         self.open_batches[request_id] = batch
-        self.taken += 1
+        self.batches_received += 1
         self.answer_greenlets.spawn(self._serve_batch, request_id, batch)
 
     def _serve_batch(self, request_id: Any, batch: Batch) -> None:
@@ -366,7 +370,7 @@
             self.send(step)
         if self.open_batches.get(request_id) is batch:
             del self.open_batches[request_id]
-        self.heard_us = self.facade.clock()
+        self.last_active_us = self.facade.clock()
         with self.facade.answering(batch):
             self._write_answer(request_id, step)
 
--- a/pathturn/wire/jsonrpc.py
+++ b/pathturn/wire/jsonrpc.py
@@ -25,11 +25,11 @@
 MAX_NUMBER = 1e7  # three hours of work in ms, ten terabytes in MB: a larger estimate is an error
 
 
-class Unusable(Exception):
+class StreamError(Exception):
     """The stream can't be decoded beyond this point; the message is the reason code."""
 
 
-class Lines:
+class LineSplitter:
     """Splits a byte stream into lines, in whatever pieces it arrives.
 
     A line that does not end must not fill the memory, and the part received so far is not searched again with
@@ -39,43 +39,43 @@
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
-        self.rest = bytearray()
+        self.partial = bytearray()
         self.read_ahead = bytearray()
 
     @property
     def read_ahead_room(self) -> int:
         """How many more bytes may be read ahead."""
-        return max(0, self.max_bytes - len(self.rest) - len(self.read_ahead))
+        return max(0, self.max_bytes - len(self.partial) - len(self.read_ahead))
 
     @property
     def has_input(self) -> bool:
         """Whether there is a partial line or read-ahead that has not been processed."""
-        return bool(self.rest or self.read_ahead)
+        return bool(self.partial or self.read_ahead)
 
     def feed(self, piece: memoryview) -> Iterator[bytes]:
-        """Yield the lines that are complete with this piece, except blank ones. Raise Unusable if the line
+        """Yield the lines that are complete with this piece, except blank ones. Raise StreamError if the line
         that it leaves incomplete is too long."""
         parts = bytes(piece).split(b"\n")
         for part in parts[:-1]:
-            line = bytes(self.rest) + part if self.rest else part
-            self.rest.clear()
+            line = bytes(self.partial) + part if self.partial else part
+            self.partial.clear()
             if line.strip():
                 yield line
-        self.rest += parts[-1]
-        if len(self.rest) > self.max_bytes:
-            raise Unusable("overlong_line")
+        self.partial += parts[-1]
+        if len(self.partial) > self.max_bytes:
+            raise StreamError("overlong_line")
 
 
 def handle_line(line: bytes, connection: Any) -> None:
     """Decode a line and make one call on the connection. A request that can't be decoded is rejected if its
-    id is known, else Unusable is raised. Cheap checks come first, as rejected requests are often sent again
-    at once."""
+    id is known, else StreamError is raised. Cheap checks come first, as rejected requests are often sent
+    again at once."""
     try:
         message = orjson.loads(line)
     except orjson.JSONDecodeError as error:
-        raise Unusable("malformed_line") from error
+        raise StreamError("malformed_line") from error
     if type(message) is not dict:
-        raise Unusable("malformed_line")
+        raise StreamError("malformed_line")
     request_id = message.get("id")
     method = message.get("method")
     params = message.get("params")
@@ -83,7 +83,7 @@
         connection.abort(params.get("id") if type(params) is dict else None)
         return
     if type(request_id) is not int:
-        raise Unusable("no_id")
+        raise StreamError("no_id")
     if not connection.accept_request_id(request_id):
         return
     if message.get("jsonrpc") != "2.0" or type(method) is not str:
--- a/pathturn/wire/line.py
+++ b/pathturn/wire/line.py
@@ -60,7 +60,7 @@
     """The connection was closed before the request was sent completely, so it had no effect."""
 
 
-def quiet(connection: socket.socket) -> bool:
+def nothing_to_read(connection: socket.socket) -> bool:
     """Return whether the socket has neither unread data nor an end of stream; does not wake its readers."""
     timeout_s = connection.gettimeout()
     connection.settimeout(0)
@@ -75,7 +75,7 @@
     return False
 
 
-def hung_up(connection: socket.socket) -> bool:
+def peer_closed(connection: socket.socket) -> bool:
     """Return whether the peer has closed the connection, even if data before that is unread."""
     if connection.closed:
         return True
@@ -204,7 +204,7 @@
 
     def fresh(self) -> bool:
         """Return whether the idle connection is still usable."""
-        return quiet(self.socket)
+        return nothing_to_read(self.socket)
 
     def close(self, code: str) -> None:
         """Close the connection and log the reason code.
--- a/pathturn/wire/door.py
+++ b/pathturn/wire/listener.py
@@ -9,7 +9,7 @@
 from gevent.server import StreamServer
 
 
-class Door(StreamServer):
+class ClientListener(StreamServer):
     """Closes a connection that is not admitted in the event loop iteration that accepts it. A greenlet would
     do so only after up to a hundred more have been accepted, on file descriptors reserved for other uses."""
 
@@ -31,7 +31,7 @@
         else:
             gevent.spawn(self.serve_connection, admitted, peer)
 
-    def close_after_all(self) -> None:
+    def accept_pending_and_close(self) -> None:
         """Handle the connections in the accept queue, then close the listener: one of them may carry a
         request, and closing the listener would reset it. After a stall of this process, a timer that calls
         this may run before the event loop looks at the listener. Raise OSError if the queue can't be read."""
--- a/tests/test_client_edges.py
+++ b/tests/test_client_edges.py
@@ -24,7 +24,7 @@
 from pathturn.process.clock import unix_clock
 from pathturn.process.limits import LONGEST_LINE, PARTING, shares
 from pathturn.wire import jsonrpc
-from pathturn.wire.clients import MOST_OPEN, Session
+from pathturn.wire.clients import MAX_OPEN_BATCHES, ClientConnection
 from pathturn.wire.statement import data_set
 
 MAX_ITERATION_CPU_S = 0.05  # CPU time that one event loop iteration may use
@@ -37,10 +37,10 @@
 PING = b'{"jsonrpc":"2.0","id":%d,"method":"ping"}\n'
 
 
-def connection_of(rig, client) -> Session:
+def connection_of(rig, client) -> ClientConnection:
     """Wait until the gateway has accepted the client; return its connection object."""
 
-    def found() -> list[Session]:
+    def found() -> list[ClientConnection]:
         return [
             each
             for each in rig.gateway.sessions.held
@@ -51,14 +51,14 @@
     return found()[0]
 
 
-def client_with_one_answer(rig) -> tuple[socket.socket, Session]:
+def client_with_one_answer(rig) -> tuple[socket.socket, ClientConnection]:
     """Return a client whose first request has been answered (the answer is unread), and its connection
     object."""
     client = socket.create_connection(rig.listen)
     client.sendall(line(1))
-    session = connection_of(rig, client)
-    until(lambda: session.taken and not session.answer_greenlets)
-    return client, session
+    connection = connection_of(rig, client)
+    until(lambda: connection.batches_received and not connection.answer_greenlets)
+    return client, connection
 
 
 def read_all_answers(client) -> list[dict]:
@@ -86,42 +86,42 @@
     """The request is written after the gateway has checked the socket and before it half-closes."""
     rig.engine("e")
     rig.start()
-    client, session = client_with_one_answer(rig)
-    overdue = Session.overdue
+    client, connection = client_with_one_answer(rig)
+    timeout_reason = ClientConnection.timeout_reason
     reasons = []
 
-    def overdue_then_request(self, now):
-        code = overdue(self, now)
-        if self is session and code == "idle":
+    def timeout_reason_then_request(self, now):
+        code = timeout_reason(self, now)
+        if self is connection and code == "idle":
             reasons.append(code)
             client.sendall(line(2))
         return code
 
-    monkeypatch.setattr(Session, "overdue", overdue_then_request)
-    session.heard_us = 0
+    monkeypatch.setattr(ClientConnection, "timeout_reason", timeout_reason_then_request)
+    connection.last_active_us = 0
     assert [each["id"] for each in read_all_answers(client)] == [1]
     client.sendall(line(3))  # the client has not closed yet: this one is discarded too
     gevent.sleep(0.05)
     assert reasons == ["idle"] and rig.engines["e"].posted and len(rig.engines["e"].posted) == 1
     client.close()
-    until(lambda: session.socket.closed)
+    until(lambda: connection.socket.closed)
 
 
 def test_first_request_that_crosses_the_timeout_for_it_is_discarded(rig, monkeypatch) -> None:
     rig.engine("e")
     rig.start()
     client = socket.create_connection(rig.listen)
-    session = connection_of(rig, client)
-    overdue = Session.overdue
+    connection = connection_of(rig, client)
+    timeout_reason = ClientConnection.timeout_reason
 
-    def overdue_then_request(self, now):
-        code = overdue(self, now)
-        if self is session and code == "no_request":
+    def timeout_reason_then_request(self, now):
+        code = timeout_reason(self, now)
+        if self is connection and code == "no_request":
             client.sendall(line(1))
         return code
 
-    monkeypatch.setattr(Session, "overdue", overdue_then_request)
-    session.heard_us = 0
+    monkeypatch.setattr(ClientConnection, "timeout_reason", timeout_reason_then_request)
+    connection.last_active_us = 0
     assert read_all_answers(client) == []
     gevent.sleep(0.05)
     rig.asked("e", "POST", 0)
@@ -135,11 +135,11 @@
     rig.engine("e")
     rig.start()
     with socket.create_connection(rig.listen) as client:
-        session = connection_of(rig, client)
+        connection = connection_of(rig, client)
         client.sendall(line(1)[:first_bytes])
-        until(lambda: len(session.lines.rest) == first_bytes)
+        until(lambda: len(connection.lines.partial) == first_bytes)
         client.sendall(line(1)[first_bytes:])
-        session.heard_us = session.partial_line_since_us = 0
+        connection.last_active_us = connection.partial_line_since_us = 0
         rig.gateway.sessions.prune()  # in the same event loop iteration: the rest has not been read
         assert [each["id"] for each in read_first_answer(client)] == [1]
 
@@ -174,7 +174,7 @@
     monkeypatch.setattr(gateway_module, "STILL_COMING_S", 0.05)
     rig.engine("e")
     rig.start()
-    client, session = client_with_one_answer(rig)
+    client, connection = client_with_one_answer(rig)
     busy = rig.gateway.sessions.busy
     requests = []
 
@@ -186,7 +186,7 @@
     monkeypatch.setattr(rig.gateway.sessions, "busy", request_then_busy)
     rig.gateway.asked_to_stop.set()
     assert sorted(each["id"] for each in read_all_answers(client)) == [1, 2]
-    assert requests and session.code == "stopped"
+    assert requests and connection.code == "stopped"
     client.close()
 
 
@@ -268,7 +268,7 @@
         running.wait()
         running.stdout.close()
         for each in list(rig.gateway.sessions.held):
-            each.end("test_over")  # else its unread input would be processed during the next test
+            each.close("test_over")  # else its unread input would be processed during the next test
 
 
 class IterationMeter:
@@ -318,7 +318,7 @@
     the number of pieces processed in a row."""
     rig.engine("e")
     rig.start()
-    process = Session._process
+    process = ClientConnection._process
     pieces = []
 
     def counting_process(self, piece):
@@ -326,7 +326,7 @@
             pieces.append(len(piece))
         process(self, piece)
 
-    monkeypatch.setattr(Session, "_process", counting_process)
+    monkeypatch.setattr(ClientConnection, "_process", counting_process)
     with flooding_client(rig, FLOODS[kind]):
         gevent.sleep(0.05)
         spans = [IterationMeter().measure(0.15, pieces) for _ in range(3)]
@@ -373,10 +373,13 @@
     rig.start()
     client = socket.create_connection(rig.listen)
     open_counts = []
-    count = 3 * MOST_OPEN
-    session = connection_of(rig, client)
-    open_batch = session.open_batch
-    session.open_batch = lambda *args: (open_batch(*args), open_counts.append(len(session.open_batches)))
+    count = 3 * MAX_OPEN_BATCHES
+    connection = connection_of(rig, client)
+    open_batch = connection.open_batch
+    connection.open_batch = lambda *args: (
+        open_batch(*args),
+        open_counts.append(len(connection.open_batches)),
+    )
     client.sendall(b"".join(line(number) for number in range(1, count + 1)))
     answers = []
     reader = client.makefile("rb")
@@ -385,8 +388,8 @@
             answers.append(orjson.loads(reader.readline()))
     assert sorted(each["id"] for each in answers) == list(range(1, count + 1))
     codes = [each["error"]["code"] for each in answers if "error" in each]
-    assert set(codes) <= {jsonrpc.TOO_MANY_OPEN} and count - len(codes) >= MOST_OPEN
-    assert max(open_counts) == MOST_OPEN
+    assert set(codes) <= {jsonrpc.TOO_MANY_OPEN} and count - len(codes) >= MAX_OPEN_BATCHES
+    assert max(open_counts) == MAX_OPEN_BATCHES
     reader.close()
     client.close()
 
@@ -404,7 +407,9 @@
     first = [plain.create_connection(rig.listen) for _ in range(sessions.cap)]
     until(lambda: len(sessions.held) == sessions.cap)
     gevent.sleep(0.05)  # until each reader waits for input
-    monkeypatch.setattr(sessions, "enter", lambda session: counts.append(descriptors()) or enter(session))
+    monkeypatch.setattr(
+        sessions, "enter", lambda connection: counts.append(descriptors()) or enter(connection)
+    )
     second = [plain.create_connection(rig.listen) for _ in range(90)]
     until(lambda: len(counts) >= 90)
     used = max(counts) - before - len(first) - len(second)
@@ -423,23 +428,23 @@
     facade = SimpleNamespace(clock=unix_clock(), leave=None)
     peers = []
 
-    def idle_connection() -> Session:
+    def idle_connection() -> ClientConnection:
         peer, link = socket.socketpair()
         peers.append(peer)
-        session = Session(link, facade, None, Buffers(), lambda: True, LONGEST_LINE)
-        session.line_received = True
-        return session
+        connection = ClientConnection(link, facade, None, Buffers(), lambda: True, LONGEST_LINE)
+        connection.line_received = True
+        return connection
 
     for _ in range(clients):
         sessions.enter(idle_connection())
     burst = [idle_connection() for _ in range(MAX_ACCEPTS_PER_ITERATION)]
     before = thread_time()
-    for session in burst:
-        assert sessions.enter(session)
+    for connection in burst:
+        assert sessions.enter(connection)
     cpu_s = thread_time() - before
     print(f"{descriptor_limit} descriptors: {cpu_s * 1000:.1f} ms")
-    for session in (*sessions.held, *sessions.parting):
-        session.end("test")
+    for connection in (*sessions.held, *sessions.parting):
+        connection.close("test")
     for peer in peers:
         peer.close()
     assert cpu_s < MAX_ITERATION_CPU_S
@@ -465,7 +470,7 @@
         connect_and_close(count)
         assert len(rig.gateway.buffers.free) <= 40 + 2
     gc.collect()
-    assert sum(isinstance(each, Session) for each in gc.get_objects()) == 1
+    assert sum(isinstance(each, ClientConnection) for each in gc.get_objects()) == 1
 
 
 # Slow clients.
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -346,18 +346,20 @@
     cap = rig.gateway.sessions.cap
     client = socket.create_connection(rig.listen)
     client.sendall(line(1))
-    until(lambda: any(each.taken and not each.answer_greenlets for each in rig.gateway.sessions.held))
-    session = next(each for each in rig.gateway.sessions.held if each.taken)
-    session.heard_us = 0  # idle for longest
-    at_rest = type(session).at_rest
+    until(
+        lambda: any(each.batches_received and not each.answer_greenlets for each in rig.gateway.sessions.held)
+    )
+    connection = next(each for each in rig.gateway.sessions.held if each.batches_received)
+    connection.last_active_us = 0  # idle for longest
+    safe_to_close = type(connection).safe_to_close
 
     def crossed(self):
-        found = at_rest(self)
-        if found and self is session:
+        found = safe_to_close(self)
+        if found and self is connection:
             client.sendall(line(2))
         return found
 
-    monkeypatch.setattr(type(session), "at_rest", crossed)
+    monkeypatch.setattr(type(connection), "safe_to_close", crossed)
     others = [socket.create_connection(rig.listen) for _ in range(cap)]
     gevent.sleep(0.2)
     with gevent.Timeout(2), client.makefile("rb") as read:
@@ -391,7 +393,7 @@
     rig.start()
     sessions, most = rig.gateway.sessions, []
     enter, before = sessions.enter, descriptors()
-    monkeypatch.setattr(sessions, "enter", lambda session: most.append(descriptors()) or enter(session))
+    monkeypatch.setattr(sessions, "enter", lambda connection: most.append(descriptors()) or enter(connection))
     crowd = [plain.create_connection(rig.listen) for _ in range(90)]  # all there before one is accepted
     until(lambda: len(most) >= 90)
     assert max(most) - before - len(crowd) <= sessions.cap + sessions.most_parting + 1
--- a/tests/test_engine_edges.py
+++ b/tests/test_engine_edges.py
@@ -18,7 +18,7 @@
 from test_close_range import Held, begun_after, descriptors, until
 
 from pathturn.core import interface as names
-from pathturn.wire.line import Line, quiet
+from pathturn.wire.line import Line, nothing_to_read
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 PARTIAL_RESPONSES = {
@@ -146,7 +146,7 @@
         if usable and self is connection and not done:
             done.append(True)
             action()
-            until(lambda: not quiet(self.socket))
+            until(lambda: not nothing_to_read(self.socket))
         return usable
 
     monkeypatch.setattr(Line, "fresh", check_then_act)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -30,7 +30,7 @@
 from pathturn.standins.engines import MORE, SPOILT
 from pathturn.standins.farm import at
 from pathturn.wire import directory, jsonrpc, warehouse
-from pathturn.wire.clients import Session
+from pathturn.wire.clients import ClientConnection
 from pathturn.wire.http import MalformedResponseError, ResponseParser
 from pathturn.wire.statement import data_set
 
@@ -55,10 +55,10 @@
 
 
 def test_lines_are_cut_wherever_the_pieces_end() -> None:
-    lines, text = jsonrpc.Lines(100), b'{"id":1}\n\n{"id":2}\n{"id":3}\n'
+    lines, text = jsonrpc.LineSplitter(100), b'{"id":1}\n\n{"id":2}\n{"id":3}\n'
     found = [line for at in range(0, len(text), 5) for line in lines.feed(memoryview(text[at : at + 5]))]
     assert found == [b'{"id":1}', b'{"id":2}', b'{"id":3}']
-    with pytest.raises(jsonrpc.Unusable):
+    with pytest.raises(jsonrpc.StreamError):
         for _ in range(12):
             list(lines.feed(memoryview(bytes(9))))
 
@@ -352,18 +352,26 @@
 
 
 def test_connections_without_use_end_and_those_with_work_or_half_a_line_stay() -> None:
-    session = Session.__new__(Session)
-    session.socket, client = socket.socketpair()
-    session.answer_greenlets, session.lines, session.line_received = set(), jsonrpc.Lines(100), True
-    session.heard_us = session.partial_line_since_us = 0
-    assert session.overdue(4_500_000) is None and session.overdue(5_500_000) == "idle" and session.at_rest()
+    connection = ClientConnection.__new__(ClientConnection)
+    connection.socket, client = socket.socketpair()
+    connection.answer_greenlets, connection.lines, connection.line_received = (
+        set(),
+        jsonrpc.LineSplitter(100),
+        True,
+    )
+    connection.last_active_us = connection.partial_line_since_us = 0
+    assert (
+        connection.timeout_reason(4_500_000) is None
+        and connection.timeout_reason(5_500_000) == "idle"
+        and connection.safe_to_close()
+    )
     client.send(b"unread")  # closed now, the system would reset it, and the batch in it be lost
-    assert session.overdue(5_500_000) is None and not session.at_rest()
-    session.socket.recv(9)
-    list(session.lines.feed(memoryview(b"half")))
-    assert session.overdue(2_500_000) == "partial_line" and not session.at_rest()
-    session.answer_greenlets.add(1)
-    assert session.overdue(9_000_000) is None and not session.at_rest()
+    assert connection.timeout_reason(5_500_000) is None and not connection.safe_to_close()
+    connection.socket.recv(9)
+    list(connection.lines.feed(memoryview(b"half")))
+    assert connection.timeout_reason(2_500_000) == "partial_line" and not connection.safe_to_close()
+    connection.answer_greenlets.add(1)
+    assert connection.timeout_reason(9_000_000) is None and not connection.safe_to_close()
 
 
 def test_a_client_that_never_reads_does_not_hold_its_writer(rig, monkeypatch) -> None:
@@ -374,10 +382,10 @@
         listener.listen()
         theirs = socket.create_connection(listener.getsockname())
         ours, _ = listener.accept()
-    session = Session(ours, rig.gateway.facade, None, None, None, 100)
+    connection = ClientConnection(ours, rig.gateway.facade, None, None, None, 100)
     with gevent.Timeout(2):
-        session._write(bytes(1 << 23))
-    assert session.code == "client_not_reading" and ours.closed
+        connection._write(bytes(1 << 23))
+    assert connection.code == "client_not_reading" and ours.closed
     theirs.close()
 
 
