--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -21,7 +21,7 @@
 from benchmarks.change import wire, wired
 from benchmarks.readiness import wait_until_healthy
 from pathturn.standins.farm import at, settings, spare_address
-from pathturn.wire import directory
+from pathturn.wire import discovery_protocol
 
 MOST, FEW, ROOT = 1024, 36, Path(__file__).parent.parent
 # All that a datagram can name in this form; the list of the start names the rest.
@@ -38,24 +38,30 @@
 def answer(number: bytes, serial: int, engines: range) -> bytes:
     """The whole list, with the names that repeat written once; as tight as RFC 1035 allows."""
     body = bytearray(number + struct.pack("!5H", 0x8400, 1, len(engines), 1, 2 * len(engines)))
-    body += directory.QUESTION
+    body += discovery_protocol.QUESTION
     zone, targets = 0, []
     for each in engines:
         label = f"e{each:07x}".encode()
         tail = struct.pack("!H", 0xC000 | zone) if zone else packed("z.hosts")
         target = bytes([len(label)]) + label + tail
-        body += b"\xc0\x0c" + ENTRY.pack(directory.SRV, 1, 5, 6 + len(target)) + struct.pack("!3H", 0, 10, 9)
+        body += (
+            b"\xc0\x0c"
+            + ENTRY.pack(discovery_protocol.SRV, 1, 5, 6 + len(target))
+            + struct.pack("!3H", 0, 10, 9)
+        )
         targets.append(len(body))
         zone = zone or len(body) + 1 + len(label)
         body += target
     soa = struct.pack("!2H", 0xC00C, 0xC00C) + struct.pack("!5I", serial, 1, 1, 1, 1)
-    body += b"\xc0\x0c" + ENTRY.pack(directory.SOA, 1, 5, len(soa)) + soa
+    body += b"\xc0\x0c" + ENTRY.pack(discovery_protocol.SOA, 1, 5, len(soa)) + soa
     told = b"\x06kind=m\x06cell=0\x09started=0"
     for each, place in zip(engines, targets):
         # Beyond 16 KiB a name can't be pointed at.
         name = struct.pack("!H", 0xC000 | place) if place < 0x4000 else packed(f"e{each:07x}.z.hosts")
-        body += name + ENTRY.pack(directory.A, 1, 5, 4) + bytes([127, 1, each >> 8 & 255, each & 255])
-        body += name + ENTRY.pack(directory.TXT, 1, 5, len(told)) + told
+        body += (
+            name + ENTRY.pack(discovery_protocol.A, 1, 5, 4) + bytes([127, 1, each >> 8 & 255, each & 255])
+        )
+        body += name + ENTRY.pack(discovery_protocol.TXT, 1, 5, len(told)) + told
     return bytes(body)
 
 
@@ -201,12 +207,12 @@
             call()
         return (process_time() - began) * 1e6 / times
 
-    full = us(lambda: directory.parse_response(packet, 1, 8), 5)
-    same = us(lambda: directory.parse_response(packet, 1, 9), 20)
+    full = us(lambda: discovery_protocol.parse_response(packet, 1, 8), 5)
+    same = us(lambda: discovery_protocol.parse_response(packet, 1, 9), 20)
     raw = packet[2:]
-    unchanged = us(lambda: packet[2:] == raw, 1000)  # what `Lookup` does first
-    _, rows = directory.parse_response(packet, 1, 8)
-    _, known = directory.known(configuration(MOST, "", ("", 0))["known"])
+    unchanged = us(lambda: packet[2:] == raw, 1000)  # what `DiscoveryClient` does first
+    _, rows = discovery_protocol.parse_response(packet, 1, 8)
+    _, known = discovery_protocol.parse_initial_list(configuration(MOST, "", ("", 0))["known"])
     return {
         "list_unchanged_us": round(unchanged, 1),
         "list_same_event_us": round(same),
--- a/benchmarks/soak/plain.py
+++ b/benchmarks/soak/plain.py
@@ -13,8 +13,8 @@
 from gevent.server import StreamServer
 
 from pathturn.memory.buffers import Buffers
-from pathturn.wire import directory, warehouse
-from pathturn.wire.line import Line
+from pathturn.wire import discovery_protocol, engine_protocol
+from pathturn.wire.engine_connection import EngineConnection
 
 PATIENCE_S = 1.0
 FAILED = -32000
@@ -25,10 +25,10 @@
 
     def __init__(self, told: dict) -> None:
         self.random = Random(1)
-        _, rows = directory.known(told["known"])
+        _, rows = discovery_protocol.parse_initial_list(told["known"])
         self.places = [(0, row[1]) for row in rows]
         self.buffers = Buffers()
-        self.server = StreamServer(directory.address(told["listen"]), self._serve)
+        self.server = StreamServer(discovery_protocol.parse_address(told["listen"]), self._serve)
 
     def _serve(self, link: socket.socket, peer: tuple[str, int]) -> None:
         for line in link.makefile("rb"):
@@ -47,11 +47,13 @@
 
     def _rows(self, message: dict) -> bytes:
         told = message["params"]
-        line = Line(self.random.choice(self.places), PATIENCE_S, self.buffers, lambda text: None)
+        connection = EngineConnection(
+            self.random.choice(self.places), PATIENCE_S, self.buffers, lambda text: None
+        )
         try:
-            status, _, body = line.call(
-                warehouse.start_request(
-                    line.host,
+            status, _, body = connection.call(
+                engine_protocol.start_request(
+                    connection.host,
                     told["trace"],
                     message["method"],
                     told["patience"] * 1000,
@@ -63,12 +65,14 @@
                 PATIENCE_S,
             )
             while status == 202:
-                status, _, body = line.call(warehouse.page_request(line.host, told["trace"], 0), PATIENCE_S)
+                status, _, body = connection.call(
+                    engine_protocol.page_request(connection.host, told["trace"], 0), PATIENCE_S
+                )
             if status != 200:
                 raise OSError(status)
             return body
         finally:
-            line.close("done")
+            connection.close("done")
 
     def _write(self, link: socket.socket, number: int, answer: dict) -> None:
         link.sendall(orjson.dumps({"jsonrpc": "2.0", "id": number, **answer}) + b"\n")
--- a/pathturn/cli/config.py
+++ b/pathturn/cli/config.py
@@ -52,11 +52,11 @@
     from pathturn.core.interface import EngineEntry
     from pathturn.process.settings import build, further_share
     from pathturn.routing.checks import ValidationContext
-    from pathturn.wire import directory
+    from pathturn.wire import discovery_protocol
 
     with common.plain_faults():
         told = orjson.loads(path.read_bytes())
-        _, rows = directory.known(told["known"])
+        _, rows = discovery_protocol.parse_initial_list(told["known"])
         _, groups = build(int(told["seed"], 16), told["settings"])
     seats = tuple(EngineEntry(at, row[0], *row[2:6]) for at, row in enumerate(rows))
     return ValidationContext(groups, seats, further_share(told["settings"]))
--- a/pathturn/cli/serve.py
+++ b/pathturn/cli/serve.py
@@ -8,7 +8,7 @@
 from pathturn.cli.common import plain_faults
 from pathturn.process.limits import shares
 from pathturn.process.settings import build
-from pathturn.wire import directory
+from pathturn.wire import discovery_protocol
 from pathturn.wire.statement import data_set
 
 VERSION = "0.3.0"
@@ -44,7 +44,7 @@
 
     with plain_faults():
         told = read(config)
-        serial, rows = directory.known(told["known"])
+        serial, rows = discovery_protocol.parse_initial_list(told["known"])
         _, groups = build(int(told["seed"], 16), told["settings"])
         clients, engines = shares(told["limits"]["sockets"])
     typer.echo(f"{told['name']} on {told['listen']}, list of event {serial}, from {told['names']}")
--- a/pathturn/memory/pools.py
+++ b/pathturn/memory/pools.py
@@ -8,7 +8,7 @@
 from gevent.lock import BoundedSemaphore
 
 from pathturn.memory.roster import Place
-from pathturn.wire.line import ConnectTimeoutError, Line
+from pathturn.wire.engine_connection import ConnectTimeoutError, EngineConnection
 
 # Idle connections are closed after half the engines' own idle timeout, so that no request is sent on a
 # connection that the engine is closing.
@@ -24,21 +24,21 @@
         engine_idle_timeout_us: int,
         dial_timeout_us: int,
         clock: Callable[[], int],
-        dial: Callable[[Place, float], Line],
+        dial: Callable[[Place, float], EngineConnection],
         log: Callable[[str], None],
     ) -> None:
         self.room = BoundedSemaphore(cap)
         self.clock, self.dial, self.log = clock, dial, log
         self.idle_timeout_us = engine_idle_timeout_us // IDLE_TIMEOUT_DIVISOR
         self.dial_s = dial_timeout_us / 1e6
-        self.idle: dict[Place, list[Line]] = defaultdict(list)
+        self.idle: dict[Place, list[EngineConnection]] = defaultdict(list)
         self.waiting = 0
         # Connections whose attempt timed out while they were still being established, at most one for an
         # endpoint, each with the greenlet that waits for it. One that succeeds later serves the next attempt.
         self.late: dict[Place, gevent.Greenlet] = {}
         self.equal_answers: set[Place] = set()
 
-    def borrow(self, place: Place, new: bool = False) -> Line:
+    def borrow(self, place: Place, new: bool = False) -> EngineConnection:
         """Return an idle connection to the endpoint, or a new one; `new` rules out idle ones."""
         idle = self.idle[place]
         # Where responses are identical, a late duplicate of an earlier response could be mistaken for the
@@ -46,10 +46,10 @@
         # Elsewhere the last used one is taken, so that surplus connections reach their idle timeout.
         longest_idle_first = place in self.equal_answers
         while idle and not new:
-            line = idle.pop(0 if longest_idle_first else -1)
-            if line.fresh():
-                return line
-            self.drop(line, "engine_closed")
+            connection = idle.pop(0 if longest_idle_first else -1)
+            if connection.is_usable():
+                return connection
+            self.drop(connection, "engine_closed")
         self._acquire_slot()
         try:
             return self.dial(place, self.dial_s)
@@ -64,37 +64,39 @@
         """Note that an endpoint gives the same response to more than one request."""
         self.equal_answers.add(place)
 
-    def _await_late_connection(self, line: Line) -> None:
+    def _await_late_connection(self, connection: EngineConnection) -> None:
         """Wait for a connection to be established, for as long as an idle one is kept; give up earlier if
         its slot is needed or its engine is removed."""
-        if line.place in self.late:
-            self.drop(line, "connect_timeout")
+        if connection.place in self.late:
+            self.drop(connection, "connect_timeout")
             return
-        self.log(f"engine {line.host} code=connect_late")
-        waiter = self.late[line.place] = gevent.spawn(line.came_up, self.idle_timeout_us / 1e6)
+        self.log(f"engine {connection.host} code=connect_late")
+        waiter = self.late[connection.place] = gevent.spawn(
+            connection.wait_established, self.idle_timeout_us / 1e6
+        )
         # A link also runs if the waiter is killed before it starts.
-        waiter.link(partial(self._finish_late_connection, line))
+        waiter.link(partial(self._finish_late_connection, connection))
 
-    def _finish_late_connection(self, line: Line, waiter: gevent.Greenlet) -> None:
-        del self.late[line.place]
+    def _finish_late_connection(self, connection: EngineConnection, waiter: gevent.Greenlet) -> None:
+        del self.late[connection.place]
         if waiter.value is True:
-            self.give_back(line)
+            self.give_back(connection)
         else:
-            self.drop(line, "connect_timeout")
+            self.drop(connection, "connect_timeout")
 
-    def give_back(self, line: Line) -> None:
+    def give_back(self, connection: EngineConnection) -> None:
         """Return a connection to the pool; it is closed if unusable or if others wait for a slot."""
-        if code := line.parts or ("connection_limit" if self.waiting else None):
-            self.drop(line, code)
+        if code := connection.retire_reason or ("connection_limit" if self.waiting else None):
+            self.drop(connection, code)
             return
-        line.idle_us = self.clock()
-        self.idle[line.place].append(line)
+        connection.idle_since_us = self.clock()
+        self.idle[connection.place].append(connection)
 
     def prune(self) -> None:
         """Close the connections whose idle timeout has expired."""
         oldest_us = self.clock() - self.idle_timeout_us
         for place, idle in list(self.idle.items()):
-            while idle and idle[0].idle_us <= oldest_us:
+            while idle and idle[0].idle_since_us <= oldest_us:
                 self.drop(idle.pop(0), "idle")
             if not idle:
                 del self.idle[place]  # else the dict would grow without bound as engines are replaced
@@ -103,8 +105,8 @@
         """Close idle connections to all other endpoints: their addresses may be reused by new engines."""
         self.equal_answers &= places
         for place in self.idle.keys() - places:
-            for line in self.idle.pop(place):
-                self.drop(line, "engine_gone")
+            for connection in self.idle.pop(place):
+                self.drop(connection, "engine_gone")
         for place in self.late.keys() - places:
             self.late[place].kill(block=False)
 
@@ -125,7 +127,7 @@
         finally:
             self.waiting -= 1
 
-    def drop(self, line: Line, code: str) -> None:
+    def drop(self, connection: EngineConnection, code: str) -> None:
         """Close a connection and free its slot."""
-        line.close(code)
+        connection.close(code)
         self.room.release()
--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -19,12 +19,12 @@
 from pathturn.process.limits import PARTING, longest_line, shares
 from pathturn.process.log import Log
 from pathturn.process.settings import build
-from pathturn.wire import directory
+from pathturn.wire import discovery_protocol
 from pathturn.wire.clients import ClientConnection
-from pathturn.wire.engines import Engines
-from pathturn.wire.line import Line
+from pathturn.wire.discovery_client import DiscoveryClient
+from pathturn.wire.dispatch_executor import DispatchExecutor
+from pathturn.wire.engine_connection import EngineConnection
 from pathturn.wire.listener import ClientListener
-from pathturn.wire.lookup import Lookup
 
 if TYPE_CHECKING:
     from pathturn.config.installation import Installation
@@ -77,19 +77,19 @@
             limits.get("idleCloseUs") or DEFAULT_ENGINE_IDLE_TIMEOUT_US,
             limits.get("dialTimeoutUs") or DEFAULT_DIAL_TIMEOUT_US,
             self.clock,
-            lambda place, dial_s: Line(place, dial_s, self.buffers, self.log),
+            lambda place, dial_s: EngineConnection(place, dial_s, self.buffers, self.log),
             self.log,
         )
         report = settings.get("report") or {}
-        self.engines = Engines(
+        self.dispatch_executor = DispatchExecutor(
             self.facade, self.pools, self.clock, report.get("fields") or [], bool(limits.get("secondCopies"))
         )
         self.asked_to_stop = Event()
         self.parts = Group()
-        serial, rows = directory.known(config["known"])
+        serial, rows = discovery_protocol.parse_initial_list(config["known"])
         self.facade.listing(names.LIST_CACHED, rows)
-        self.names = directory.address(config["names"])
-        self.lookup = Lookup(
+        self.names = discovery_protocol.parse_address(config["names"])
+        self.discovery_client = DiscoveryClient(
             self.facade,
             settings.get("discovery") == "ask",
             serial,
@@ -103,11 +103,13 @@
             self.operator = operator.Operator(
                 installation, self.facade, settings, client_limit, self.clock, self.log
             )
-        self.server = ClientListener(directory.address(config["listen"]), self._admit, self._serve_client)
+        self.server = ClientListener(
+            discovery_protocol.parse_address(config["listen"]), self._admit, self._serve_client
+        )
 
     def run(self) -> None:
         """Serve until a stop is requested, then shut down; the server must have been started."""
-        self.lookup.follow(self.names)
+        self.discovery_client.use_directory(self.names)
         for part in (
             self._round_loop,
             self._heartbeat_loop,
@@ -129,14 +131,14 @@
         logged and changes nothing.
         """
         try:
-            address = directory.address(read()["names"])
+            address = discovery_protocol.parse_address(read()["names"])
         except Exception as fault:  # noqa: BLE001 - whatever is in that file, the gateway goes on serving
             self.log(f"reload code=unusable_{type(fault).__name__}")
             return
         self.log(f"reload code=ok names={address[0]}:{address[1]}")
         if address != self.names:
             self.names = address
-            self.lookup.follow(address)
+            self.discovery_client.use_directory(address)
 
     def _round_loop(self) -> None:
         """Run one round for all events that arrive within the round interval of the settings."""
@@ -156,7 +158,7 @@
         connection = ClientConnection(
             link,
             self.facade,
-            self.engines.send,
+            self.dispatch_executor.send,
             self.buffers,
             lambda: not self.asked_to_stop.is_set(),
             self.longest_line,
--- a/pathturn/standins/farm.py
+++ b/pathturn/standins/farm.py
@@ -12,7 +12,7 @@
 from pathturn.config.installation import Installation, installation
 from pathturn.standins.engines import StandInEngine
 from pathturn.standins.strait import Strait
-from pathturn.wire import directory
+from pathturn.wire import discovery_protocol
 
 SECOND, ZONE = 1_000_000, "z"
 # (effect, time limit in ms, more settings): what the wire calls repeatable, once-only and referenced batches.
@@ -144,7 +144,9 @@
                 host, port = self.place(name).address
                 target = f"{name}.{self.zones.get(name, ZONE)}.hosts"
                 draining = int(self.states[name] == "draining")
-                reply.add_answer(RR(directory.SERVICE_NAME, QTYPE.SRV, rdata=SRV(draining, 10, port, target)))
+                reply.add_answer(
+                    RR(discovery_protocol.SERVICE_NAME, QTYPE.SRV, rdata=SRV(draining, 10, port, target))
+                )
                 reply.add_ar(RR(target, QTYPE.A, rdata=A(host)))
                 told = ["kind=m", "cell=0", f"started={self.started_ms.get(name, 0)}"]
                 reply.add_ar(RR(target, QTYPE.TXT, rdata=TXT(told)))
--- a/pathturn/wire/clients.py
+++ b/pathturn/wire/clients.py
@@ -15,7 +15,7 @@
 from pathturn.memory.buffers import SIZE, Buffers
 from pathturn.memory.facade import Facade
 from pathturn.wire import jsonrpc
-from pathturn.wire.line import nothing_to_read, peer_closed
+from pathturn.wire.engine_connection import nothing_to_read, peer_closed
 from pathturn.wire.reader import SocketReader
 from pathturn.wire.statement import data_set
 
--- a/pathturn/wire/lookup.py
+++ b/pathturn/wire/discovery_client.py
@@ -8,7 +8,7 @@
 
 from pathturn.core import interface as names
 from pathturn.memory.facade import Facade
-from pathturn.wire import directory
+from pathturn.wire import discovery_protocol
 
 # The largest datagram. An engine takes about 90 to 110 bytes, so the protocol's 8,000 would hold about 80
 # engines; a truncated list is discarded, and the drains in it would be missed.
@@ -20,7 +20,7 @@
 RESPONSE_TIMEOUT_S = 0.5
 
 
-class Lookup:
+class DiscoveryClient:
     """Keeps the facade's list of engines up to date from the directory."""
 
     def __init__(
@@ -39,11 +39,11 @@
         self.last_serial = last_serial
         self.query_id = 0
         self.last_response = b""  # without its query id
-        self.following: gevent.Greenlet | None = None
+        self.poller: gevent.Greenlet | None = None
         self.queries = Group()
         self.last_error = ""
 
-    def follow(self, address: tuple[str, int]) -> None:
+    def use_directory(self, address: tuple[str, int]) -> None:
         """Query the directory at this address from now on, without waiting for responses of the previous one.
 
         Serials continue over a change of directories, but the previous one's last response must not be
@@ -51,12 +51,12 @@
         """
         self.stop()
         self.last_response = b""
-        self.following = gevent.spawn(self._poll, address)
+        self.poller = gevent.spawn(self._poll, address)
 
     def stop(self) -> None:
         """Stop querying and abandon pending queries."""
-        if self.following is not None:
-            self.following.kill(block=False)
+        if self.poller is not None:
+            self.poller.kill(block=False)
         self.queries.kill(block=False)
 
     def _poll(self, address: tuple[str, int]) -> None:
@@ -79,7 +79,7 @@
                 gevent.Timeout(RESPONSE_TIMEOUT_S),
             ):
                 connection.connect(address)
-                connection.send(directory.build_query(query_id))
+                connection.send(discovery_protocol.build_query(query_id))
                 while not self._handle_response(connection.recv(MAX_DATAGRAM_BYTES), query_id):
                     pass
                 self.last_error = ""
@@ -99,8 +99,8 @@
             return True
         try:
             # Lists with an older serial are not parsed: they would restore engines that are draining.
-            serial, rows = directory.parse_response(packet, query_id, self.last_serial)
-        except directory.MalformedResponseError as error:
+            serial, rows = discovery_protocol.parse_response(packet, query_id, self.last_serial)
+        except discovery_protocol.MalformedResponseError as error:
             self.log(f"discovery bytes={len(packet)} code=malformed_response reason={error}")
             return False
         if rows is not None or serial == self.last_serial:
--- a/pathturn/wire/directory.py
+++ b/pathturn/wire/discovery_protocol.py
@@ -38,13 +38,13 @@
     """The packet is no complete and valid response to the query."""
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Parse `host:port`."""
     host, port = text.rsplit(":", 1)
     return host, int(port)
 
 
-def known(configuration: dict[str, Any]) -> tuple[int, list[tuple]]:
+def parse_initial_list(configuration: dict[str, Any]) -> tuple[int, list[tuple]]:
     """Return the serial of the last update in the start-up configuration, and the list that all updates
     make together."""
     rows: dict[str, tuple] = {}
@@ -56,7 +56,7 @@
             state = STATES.get(server["state"], names.GONE)
             rows[server["id"]] = (
                 server["id"],
-                address(server["addr"]),
+                parse_address(server["addr"]),
                 server["zone"],
                 server["kind"],
                 server["cell"],
--- a/pathturn/wire/engines.py
+++ b/pathturn/wire/dispatch_executor.py
@@ -8,10 +8,10 @@
 from pathturn.memory.batches import Dispatch
 from pathturn.memory.facade import Facade
 from pathturn.memory.pools import Pools
-from pathturn.wire import warehouse
+from pathturn.wire import engine_protocol
+from pathturn.wire.engine_connection import ConnectFailedError, ConnectionLostError, RequestNotSentError
 from pathturn.wire.exchange import Exchange
-from pathturn.wire.line import ConnectFailedError, ConnectionLostError, RequestNotSentError
-from pathturn.wire.proof import SETTLE_US, CancelReply, TerminationProof
+from pathturn.wire.termination import SETTLE_US, CancelReply, TerminationProof
 
 ORDER_POLL_S = 0.01
 # After a cancel request without a reply: requests of the key wait for one, but each opens a connection.
@@ -28,7 +28,7 @@
     """The time limit of the dispatch has passed."""
 
 
-class Engines:
+class DispatchExecutor:
     """Runs each dispatch in a greenlet of its own and reports its outcome to the facade."""
 
     def __init__(
@@ -155,7 +155,7 @@
             return
         exchange.started = True
         pages, (status, fields, body) = exchange.start(
-            warehouse.start_request(
+            engine_protocol.start_request(
                 exchange.connection.host,
                 batch.ticket,
                 batch.group,
@@ -167,11 +167,11 @@
             )
         )
         while status == 202:
-            if (notice := warehouse.notice(fields)) is not None:
+            if (notice := engine_protocol.notice(fields)) is not None:
                 self.facade.note(dispatch, *notice)
             pages, (status, fields, body) = exchange.poll()
         ended_us = self.clock()
-        outcome = warehouse.outcome(status, fields)
+        outcome = engine_protocol.outcome(status, fields)
         rows = None
         if outcome == names.RETURNED:
             rows = self._fetch_rows(exchange, pages, body)
@@ -187,7 +187,7 @@
                 return None
             rows.append(page)
         result = b"".join(rows)
-        return result if len(result) <= warehouse.MAX_RESULT_BYTES else None
+        return result if len(result) <= engine_protocol.MAX_RESULT_BYTES else None
 
     def _report(
         self,
@@ -203,17 +203,19 @@
             exchange.dispatch,
             outcome,
             ended_us or self.clock(),
-            round(warehouse.numeric_field(reported, "x-cost-ms") * 1000),
-            warehouse.numeric_field(reported, "x-needed-mb"),
-            warehouse.load_report(reported, self.report_fields),
+            round(engine_protocol.numeric_field(reported, "x-cost-ms") * 1000),
+            engine_protocol.numeric_field(reported, "x-needed-mb"),
+            engine_protocol.load_report(reported, self.report_fields),
             rows,
         )
 
     def _cancel(self, dispatch: Dispatch, new_connection: bool = False) -> CancelReply:
-        return self._call_control(dispatch, warehouse.cancel_request, new_connection)
+        return self._call_control(dispatch, engine_protocol.cancel_request, new_connection)
 
     def _change_priority(self, dispatch: Dispatch, priority: int) -> None:
-        self._call_control(dispatch, lambda host, ticket: warehouse.priority_request(host, ticket, priority))
+        self._call_control(
+            dispatch, lambda host, ticket: engine_protocol.priority_request(host, ticket, priority)
+        )
 
     def _call_control(
         self, dispatch: Dispatch, request: Callable[[str, str], bytes], new_connection: bool = False
@@ -234,4 +236,4 @@
             return CancelReply.NO_REPLY
         finally:
             exchange.close_connection(exchange.close_code)
-        return CancelReply.CONFIRMED if status == warehouse.CONTROL_ACCEPTED else CancelReply.NO_REPLY
+        return CancelReply.CONFIRMED if status == engine_protocol.CONTROL_ACCEPTED else CancelReply.NO_REPLY
--- a/pathturn/wire/line.py
+++ b/pathturn/wire/engine_connection.py
@@ -12,9 +12,9 @@
 
 from pathturn.memory.buffers import Buffers
 from pathturn.memory.roster import Place
-from pathturn.wire import warehouse
+from pathturn.wire import engine_protocol
+from pathturn.wire.engine_protocol import ResultFingerprint
 from pathturn.wire.http import MalformedResponseError, ResponseParser
-from pathturn.wire.warehouse import ResultFingerprint
 
 # SO_LINGER with a timeout of zero: closing resets the connection and discards unsent data.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -38,7 +38,7 @@
 class ConnectTimeoutError(ConnectFailedError):
     """The connection was not established in time and is still pending; whoever catches this owns it."""
 
-    def __init__(self, cause: OSError, connection: "Line") -> None:
+    def __init__(self, cause: OSError, connection: "EngineConnection") -> None:
         super().__init__(cause)
         self.connection = connection
 
@@ -84,7 +84,7 @@
     return any(events & HANGUP_EVENTS for _, events in poll.poll(0))
 
 
-class Line:
+class EngineConnection:
     """A connection to an engine. Logs its number of requests and a reason code when it is closed."""
 
     def __init__(
@@ -96,7 +96,7 @@
         self.log = log
         self.parser = ResponseParser()
         self.requests = 0
-        self.idle_us = 0
+        self.idle_since_us = 0
         self.response_pending = False
         self.had_server_error = False
         self.recent_results: deque[tuple[ResultFingerprint, float]] = deque(maxlen=RECENT_RESULTS)
@@ -119,7 +119,7 @@
     def _established(self) -> None:
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def came_up(self, timeout_s: float) -> bool:
+    def wait_established(self, timeout_s: float) -> bool:
         """Wait for a connection that was not established in time; return whether it is usable."""
         try:
             wait_write(self.socket.fileno(), timeout=timeout_s, timeout_exc=TimeoutError())
@@ -140,7 +140,7 @@
             raise RequestNotSentError(type(error).__name__) from error
         response = self.read_response()
         self.had_server_error |= response[0] >= 500
-        if (fingerprint := warehouse.result_fingerprint(*response)) is not None:
+        if (fingerprint := engine_protocol.result_fingerprint(*response)) is not None:
             now = monotonic()
             if any(
                 fingerprint == earlier and now - received_s < DUPLICATE_WINDOW_S
@@ -184,7 +184,7 @@
             size = self.socket.recv_into(buffer)
         except TimeoutError:
             # After a stall of this process the timer fires before data that arrived in time is read.
-            if self.fresh():
+            if self.is_usable():
                 raise
             size = self.socket.recv_into(buffer)
         if not size:
@@ -192,7 +192,7 @@
         return buffer[:size]
 
     @property
-    def parts(self) -> str | None:
+    def retire_reason(self) -> str | None:
         """The reason code if the connection must not be reused, else None.
 
         Error responses are all equal: a duplicate of one would be attributed to another query and confirm
@@ -202,7 +202,7 @@
             "server_error" if self.had_server_error else None if self.parser.keep_alive else "engine_closing"
         )
 
-    def fresh(self) -> bool:
+    def is_usable(self) -> bool:
         """Return whether the idle connection is still usable."""
         return nothing_to_read(self.socket)
 
--- a/pathturn/wire/exchange.py
+++ b/pathturn/wire/exchange.py
@@ -7,16 +7,16 @@
 
 from pathturn.memory.batches import Dispatch
 from pathturn.memory.pools import Pools
-from pathturn.wire import warehouse
-from pathturn.wire.http import MalformedResponseError
-from pathturn.wire.line import (
+from pathturn.wire import engine_protocol
+from pathturn.wire.engine_connection import (
     ConnectFailedError,
     ConnectionLostError,
-    Line,
+    EngineConnection,
     RequestNotSentError,
     SuspectedDuplicateError,
 )
-from pathturn.wire.warehouse import ResultFingerprint
+from pathturn.wire.engine_protocol import ResultFingerprint
+from pathturn.wire.http import MalformedResponseError
 
 Response = tuple[int, dict[str, str], bytes]
 # A repeated request recovers a corrupted response; after so many failures in a row the result is lost.
@@ -38,24 +38,24 @@
         self.pools = pools
         self.started = False
         self.response_lost = False
-        self.connection: Line | None = None
+        self.connection: EngineConnection | None = None
         # A connection that received a result which may be a duplicate; kept until the engine's next response.
-        self.suspected: tuple[Line, ResultFingerprint] | None = None
+        self.suspected: tuple[EngineConnection, ResultFingerprint] | None = None
         self.close_code = "no_response"  # logged when the connection is closed
         self.query_expiry_us = 0  # by then the engine has ended the query, unless it is polled again
         # Whether the engine has answered the start or a request about it.
         self.start_acknowledged = False
         self.start_arrival_limit_us = 0  # until then the start may reach the engine
-        self.response_timeout_s = pools.dial_s + warehouse.POLL_RESPONSE_US / 1e6
+        self.response_timeout_s = pools.dial_s + engine_protocol.POLL_RESPONSE_US / 1e6
 
     def start(self, request: bytes) -> tuple[int, Response]:
         """Send the start; return the number of pages of the result, 0 if there is none yet, and the
         response."""
         self.start_arrival_limit_us = (
-            self.pools.clock() + warehouse.POLL_RESPONSE_US + warehouse.UNPOLLED_LIFETIME_US
+            self.pools.clock() + engine_protocol.POLL_RESPONSE_US + engine_protocol.UNPOLLED_LIFETIME_US
         )
         try:
-            result = self._call_once(request, warehouse.page_count)
+            result = self._call_once(request, engine_protocol.page_count)
             self.start_acknowledged = True
             return result
         except RequestNotSentError:
@@ -82,14 +82,14 @@
         one; return whether the engine has confirmed it."""
         if self.connection is None or self.connection.response_pending or not self.start_acknowledged:
             return False
-        request = warehouse.cancel_request(self.connection.host, self.dispatch.batch.ticket)
+        request = engine_protocol.cancel_request(self.connection.host, self.dispatch.batch.ticket)
         statuses = []
         answered = self._call_in_time(
             lambda: statuses.append(self.connection.call_control(request, self.response_timeout_s))
         )
         if answered:
             self.release_connection()
-        return statuses == [warehouse.CONTROL_ACCEPTED]
+        return statuses == [engine_protocol.CONTROL_ACCEPTED]
 
     def _call_in_time(self, call: Callable[[], object]) -> bool:
         """Return whether the call completed in time; if not, the connection is not usable any more."""
@@ -113,7 +113,7 @@
         still be in transit, or the query was not polled for too long, or the engine was restarted. It does
         not tell when the query ended, or whether it did.
         """
-        pages, response = self._request_page(0, warehouse.page_count)
+        pages, response = self._request_page(0, engine_protocol.page_count)
         if self._may_be_unknown(response):
             raise ConnectionLostError("query_unknown")
         self.start_acknowledged = True
@@ -121,7 +121,7 @@
 
     def page(self, number: int) -> bytes | None:
         """Return a page of the result, None if the engine has lost it."""
-        found, response = self._request_page(number, partial(warehouse.is_page, number))
+        found, response = self._request_page(number, partial(engine_protocol.is_page, number))
         return response[2] if found else None
 
     def _request_page(self, number: int, check: Callable[..., int]) -> tuple[int, Response]:
@@ -133,7 +133,8 @@
                     gevent.sleep(RETRY_BACKOFF_S * 2**tries)
                     self.connection = self.pools.borrow(self.dispatch.place, new=True)
                 return self._call_once(
-                    warehouse.page_request(self.connection.host, self.dispatch.batch.ticket, number), check
+                    engine_protocol.page_request(self.connection.host, self.dispatch.batch.ticket, number),
+                    check,
                 )
             except ConnectFailedError as error:
                 raise ConnectionLostError("connect_failed") from error
@@ -145,16 +146,16 @@
         """Send a request; return the result of the check and the response. A connection that received more
         data than the response is not reused."""
         self.query_expiry_us = (
-            self.pools.clock() + warehouse.POLL_RESPONSE_US + warehouse.UNPOLLED_LIFETIME_US
+            self.pools.clock() + engine_protocol.POLL_RESPONSE_US + engine_protocol.UNPOLLED_LIFETIME_US
         )
         response = self.connection.call(request, self.response_timeout_s)
-        self._resolve_suspected(warehouse.result_fingerprint(*response))
+        self._resolve_suspected(engine_protocol.result_fingerprint(*response))
         try:
             result = check(*response)
         except MalformedResponseError as error:
             raise ConnectionLostError(f"malformed_{error}") from error
-        if self.connection.parts:
-            self.close_connection(self.connection.parts)
+        if self.connection.retire_reason:
+            self.close_connection(self.connection.retire_reason)
         return result, response
 
     def _release_lost_connection(self, error: ConnectionLostError) -> None:
@@ -163,7 +164,7 @@
         if (
             isinstance(error, SuspectedDuplicateError)
             and self.connection is not None
-            and not self.connection.parts
+            and not self.connection.retire_reason
         ):
             self._resolve_suspected(None)
             self.suspected = (self.connection, error.fingerprint)
--- a/pathturn/wire/proof.py
+++ b/pathturn/wire/termination.py
@@ -5,7 +5,7 @@
 
 from enum import Enum
 
-from pathturn.wire.warehouse import POLL_RESPONSE_US, UNPOLLED_LIFETIME_US
+from pathturn.wire.engine_protocol import POLL_RESPONSE_US, UNPOLLED_LIFETIME_US
 
 # An engine answers each request within this time, so by then it has processed everything that had arrived
 # when it answered a request on another connection.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -296,7 +296,7 @@
         if self.gateway is not None:
             self.gateway.server.stop(0)
             self.gateway.parts.kill()
-            self.gateway.lookup.stop()
+            self.gateway.discovery_client.stop()
             if self.gateway.operator is not None:
                 self.gateway.operator.close()
         gevent.killall(self.greenlets)
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -23,7 +23,7 @@
 from pathturn.process.settings import build
 from pathturn.standins import farm
 from pathturn.wire import jsonrpc
-from pathturn.wire.lookup import QUERY_INTERVAL_S
+from pathturn.wire.discovery_client import QUERY_INTERVAL_S
 
 HEARD_S = 0.1  # by the protocol nothing begins later than that after its client left
 CALLED_BACK_S = 0.3  # the protocol's figure for what waited; here with a word each way to the engine
@@ -62,7 +62,7 @@
             dials[name] = Held(super().connect)
             return dials[name](address)
 
-    monkeypatch.setattr("pathturn.wire.line.socket.socket", Slow)
+    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", Slow)
     return dials
 
 
@@ -483,7 +483,7 @@
                 raise TimeoutError
             connect(self, address)
 
-    monkeypatch.setattr("pathturn.wire.line.socket.socket", Late)
+    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", Late)
     rig.call(1, "pay", patience=1400)
     rig.returned(1)
     posts = {each.server.address: len(each.posts()) for each in rig.engines.values()}
@@ -635,7 +635,7 @@
     finally:
         second.server.stop(0)
         second.parts.kill()
-        second.lookup.stop()
+        second.discovery_client.stop()
         running.kill()
 
 
--- a/tests/test_corners.py
+++ b/tests/test_corners.py
@@ -7,7 +7,7 @@
 from pathturn.core import interface as names
 from pathturn.process.settings import build
 from pathturn.standins import farm
-from pathturn.wire import directory
+from pathturn.wire import discovery_protocol
 
 SECOND = 1_000_000
 
@@ -160,7 +160,7 @@
         for port in (1, 2)
     ]
     twice = [{**rows[0], "id": "f"}, {**rows[0], "id": "g"}]
-    _, known = directory.known(
+    _, known = discovery_protocol.parse_initial_list(
         {"index": 4, "updates": [{"endpoints": {"full": True, "servers": [*rows, *twice]}}]}
     )
     assert [(row[0], row[1][1]) for row in known] == [("e", 2), ("f", 1), ("g", 1)]
--- a/tests/test_engine_edges.py
+++ b/tests/test_engine_edges.py
@@ -18,7 +18,7 @@
 from test_close_range import Held, begun_after, descriptors, until
 
 from pathturn.core import interface as names
-from pathturn.wire.line import Line, nothing_to_read
+from pathturn.wire.engine_connection import EngineConnection, nothing_to_read
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 PARTIAL_RESPONSES = {
@@ -61,7 +61,7 @@
     return "\r\n".join(head).encode() + body
 
 
-def idle_connections(rig) -> list[Line]:
+def idle_connections(rig) -> list[EngineConnection]:
     return [connection for idle in rig.gateway.pools.idle.values() for connection in idle]
 
 
@@ -127,7 +127,7 @@
     rig.returned(1)
     (connection,) = idle_connections(rig)
     appends.connection.sendall(PARTIAL_RESPONSES[partial_response])
-    until(lambda: not connection.fresh())
+    until(lambda: not connection.is_usable())
     rig.call(2, "pay")
     rig.returned(2, 2)
     assert connection.socket.closed and count_starts(rig) == 2
@@ -135,21 +135,21 @@
     rig.idle()
 
 
-def interleave(monkeypatch, connection: Line, action) -> None:
+def interleave(monkeypatch, connection: EngineConnection, action) -> None:
     """Run `action` once, between the check of the idle connection and the next request, which waits until the
     effect of the action has arrived."""
-    fresh = Line.fresh
+    is_usable = EngineConnection.is_usable
     done = []
 
     def check_then_act(self):
-        usable = fresh(self)
+        usable = is_usable(self)
         if usable and self is connection and not done:
             done.append(True)
             action()
             until(lambda: not nothing_to_read(self.socket))
         return usable
 
-    monkeypatch.setattr(Line, "fresh", check_then_act)
+    monkeypatch.setattr(EngineConnection, "is_usable", check_then_act)
 
 
 @pytest.mark.parametrize("word", ["rows:2", "runs:120"])
@@ -433,7 +433,7 @@
                 held()
             super().connect(address)
 
-    monkeypatch.setattr("pathturn.wire.line.socket.socket", HeldConnect)
+    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", HeldConnect)
     return held
 
 
@@ -518,7 +518,7 @@
                     options.append(self.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
             return super().sendall(*arguments)
 
-    monkeypatch.setattr("pathturn.wire.line.socket.socket", RecordsNodelay)
+    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", RecordsNodelay)
     rig.start()
     rig.call(1, "pay")
     rig.returned(1, 3)
@@ -708,7 +708,7 @@
 def test_a_connection_closed_while_idle_is_noticed_when_it_is_acquired(proxied_rig, end, group) -> None:
     rig, proxy = proxied_rig
     end(proxy.connections[0])
-    until(lambda: not rig.idle_connection.fresh())
+    until(lambda: not rig.idle_connection.is_usable())
     rig.call(2, group)
     rig.returned(2, 2)
     assert rig.idle_connection.socket.closed and count_starts(rig) == 2 and len(proxy.connections) == 2
--- a/tests/test_execution_termination.py
+++ b/tests/test_execution_termination.py
@@ -13,7 +13,7 @@
 from gevent.server import StreamServer
 from test_close_range import Late, until
 
-from pathturn.wire.proof import CancelReply, TerminationProof
+from pathturn.wire.termination import CancelReply, TerminationProof
 
 START_DELAY_S = 1.5
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -63,7 +63,7 @@
         self.running.kill()
         self.gateway.server.stop(0)
         self.gateway.parts.kill()
-        self.gateway.lookup.following.kill()
+        self.gateway.discovery_client.poller.kill()
         self.operator.close()
         self.crowd.close()
         self.stop()
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -11,7 +11,7 @@
 
 from pathturn.memory.pools import Pools
 from pathturn.process.clock import unix_clock
-from pathturn.wire.line import ConnectTimeoutError
+from pathturn.wire.engine_connection import ConnectTimeoutError
 
 WARMING_UP = {"coldFrom": "0.33", "coldUs": "14000000", "fallMultiple": "3.0", "fallUs": "1000000"}
 # More work than one of six gateways may send within the slow start's period to an engine that warms up.
@@ -42,7 +42,7 @@
                 raise error
             super().connect(address)
 
-    monkeypatch.setattr("pathturn.wire.line.socket.socket", FirstConnectFails)
+    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", FirstConnectFails)
     return failed_addresses
 
 
@@ -130,7 +130,7 @@
                 connects.append(to)
                 raise TimeoutError  # established, but only after the connect timeout
 
-    monkeypatch.setattr("pathturn.wire.line.socket.socket", LateConnect)
+    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", LateConnect)
     rig.call(1, "look")
     rig.returned(1)
     rig.asked("e", "POST", 1)
@@ -154,7 +154,7 @@
 class PendingConnection:
     """A connection to an engine that is pending until `established` is set."""
 
-    parts = None
+    retire_reason = None
     host = "127.0.0.1:1"
 
     def __init__(self, place) -> None:
@@ -162,10 +162,10 @@
         self.established = Event()
         self.closed_with = None
 
-    def came_up(self, timeout_s: float) -> bool:
+    def wait_established(self, timeout_s: float) -> bool:
         return self.established.wait(timeout_s)
 
-    def fresh(self) -> bool:
+    def is_usable(self) -> bool:
         return True
 
     def close(self, code: str) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -29,7 +29,7 @@
 from pathturn.standins import farm
 from pathturn.standins.engines import MORE, SPOILT
 from pathturn.standins.farm import at
-from pathturn.wire import directory, jsonrpc, warehouse
+from pathturn.wire import discovery_protocol, engine_protocol, jsonrpc
 from pathturn.wire.clients import ClientConnection
 from pathturn.wire.http import MalformedResponseError, ResponseParser
 from pathturn.wire.statement import data_set
@@ -69,7 +69,7 @@
     assert not answers.feed(memoryview(first[:30]))
     assert answers.feed(memoryview(first[30:]))
     status, fields, body = answers.take()
-    assert (status, body, warehouse.notice(fields), answers.keep_alive) == (
+    assert (status, body, engine_protocol.notice(fields), answers.keep_alive) == (
         202,
         b"",
         (names.NOTICE_WAITING, 2.0),
@@ -82,10 +82,10 @@
     assert answers.feed(memoryview(last))
     _, fields, body = answers.take()
     assert body == b"a\n" and not answers.keep_alive
-    assert warehouse.load_report(fields, ["concurrent", "depth"]) == [7, 1.5]
-    assert warehouse.load_report(fields, ["concurrent", "x0"]) is None
+    assert engine_protocol.load_report(fields, ["concurrent", "depth"]) == [7, 1.5]
+    assert engine_protocol.load_report(fields, ["concurrent", "x0"]) is None
     # Seen on a day: the settings' own names. Read as none, every load report was lost.
-    assert warehouse.load_report({"x-meter": "depth:0;concurrent:4.015"}, ["depth", "concurrent"]) == [
+    assert engine_protocol.load_report({"x-meter": "depth:0;concurrent:4.015"}, ["depth", "concurrent"]) == [
         0,
         4.015,
     ]
@@ -128,7 +128,7 @@
                 raise fault
             super().connect(address)
 
-    monkeypatch.setattr("pathturn.wire.line.socket.socket", Flaky)
+    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", Flaky)
     rig.call(1, "pay")
     rig.returned(1)
     rig.idle()
@@ -147,7 +147,9 @@
 
 def test_outcomes_tell_what_is_proven() -> None:
     shed = {"x-shed": "1"}
-    told = [warehouse.outcome(*each) for each in ((503, shed), (504, shed), (503, {}), (500, {}), (200, {}))]
+    told = [
+        engine_protocol.outcome(*each) for each in ((503, shed), (504, shed), (503, {}), (500, {}), (200, {}))
+    ]
     assert told == [names.FULL, names.UNSENT, names.ERRORED, names.ERRORED, names.RETURNED]
 
 
@@ -167,7 +169,7 @@
     def event(full: bool, *servers: dict) -> dict:
         return {"endpoints": {"full": full, "servers": servers}}
 
-    index, rows = directory.known(
+    index, rows = discovery_protocol.parse_initial_list(
         {
             "index": 3,
             "updates": [
@@ -185,8 +187,8 @@
     [b"", b"\0\1", b"\0\1" + bytes(10), b"\0\1" + b"\xc0\x0c" * 99, b"\0\1\x84\0" + bytes(range(1, 200))],
 )
 def test_no_datagram_ends_the_following_of_the_list(packet: bytes) -> None:
-    with pytest.raises(directory.MalformedResponseError):
-        directory.parse_response(packet, 1)
+    with pytest.raises(discovery_protocol.MalformedResponseError):
+        discovery_protocol.parse_response(packet, 1)
 
 
 def packed(count: int, *, serial: int = 9, texts: dict[int, list[bytes]] | None = None) -> bytes:
@@ -195,7 +197,7 @@
     def record(name: bytes, sort: int, data: bytes) -> bytes:
         return name + struct.pack("!HHIH", sort, 1, 5, len(data)) + data
 
-    out = bytearray(struct.pack("!6H", 1, 0x8180, 1, count, 1, 2 * count) + directory.QUESTION)
+    out = bytearray(struct.pack("!6H", 1, 0x8180, 1, count, 1, 2 * count) + discovery_protocol.QUESTION)
     zone, labels = len(out) + 18 + 9, []
     for number in range(count):
         labels.append(b"\x08s-%06x" % number)
@@ -216,17 +218,17 @@
 
 
 def test_a_list_of_hundreds_is_read_whole_and_only_when_it_is_newer() -> None:
-    serial, rows = directory.parse_response(packed(640), 1)
+    serial, rows = discovery_protocol.parse_response(packed(640), 1)
     assert (serial, len(rows), len(packed(640)) <= 65_507) == (9, 640, True)
     assert rows[513] == ("s-000201", ("127.9.2.1", 8443), "East", "std", 2, names.DRAINING, 4.0, 5)
-    assert directory.parse_response(packed(640), 1, last_serial=9) == (9, None)
+    assert discovery_protocol.parse_response(packed(640), 1, last_serial=9) == (9, None)
 
 
 def test_own_reader_finds_what_a_dns_library_finds() -> None:
-    record = DNSRecord.parse(directory.build_query(1))
-    assert (str(record.q.qname), record.q.qtype) == (directory.SERVICE_NAME + ".", QTYPE.SRV)
+    record = DNSRecord.parse(discovery_protocol.build_query(1))
+    assert (str(record.q.qname), record.q.qtype) == (discovery_protocol.SERVICE_NAME + ".", QTYPE.SRV)
     reply = DNSRecord.parse(packed(40))
-    _, rows = directory.parse_response(packed(40), 1)
+    _, rows = discovery_protocol.parse_response(packed(40), 1)
     assert [row[1][0] for row in rows] == [str(each.rdata) for each in reply.ar if each.rtype == QTYPE.A]
     assert [row[0] for row in rows] == [str(each.rdata.target).split(".")[0] for each in reply.rr]
 
@@ -236,11 +238,11 @@
     packet = bytearray(packed(40))
     packet[place % len(packet)] = byte
     for each in (bytes(packet), packed(40)[:cut]):
-        with contextlib.suppress(directory.MalformedResponseError):
-            directory.parse_response(each, 1)
+        with contextlib.suppress(discovery_protocol.MalformedResponseError):
+            discovery_protocol.parse_response(each, 1)
     if cut < len(packed(40)):
-        with pytest.raises(directory.MalformedResponseError):
-            directory.parse_response(packed(40)[:cut], 1)
+        with pytest.raises(discovery_protocol.MalformedResponseError):
+            discovery_protocol.parse_response(packed(40)[:cut], 1)
 
 
 @pytest.mark.parametrize(
@@ -254,15 +256,17 @@
     ],
 )
 def test_one_engine_told_badly_spoils_the_list(told: list[bytes]) -> None:
-    with pytest.raises(directory.MalformedResponseError):
-        directory.parse_response(packed(3, texts={1: told}), 1)
+    with pytest.raises(discovery_protocol.MalformedResponseError):
+        discovery_protocol.parse_response(packed(3, texts={1: told}), 1)
 
 
 def test_pointers_that_lead_on_and_on_are_refused() -> None:
     chain = b"".join(struct.pack("!H", 0xC000 | 12 + 2 * max(0, each - 1)) for each in range(6000))
     head = struct.pack("!6H", 1, 0x8180, 0, 1, 0, 0)
-    with pytest.raises(directory.MalformedResponseError):
-        directory.parse_response(head + struct.pack("!HHHIH", 0xC00C, 33, 1, 5, len(chain)) + chain, 1)
+    with pytest.raises(discovery_protocol.MalformedResponseError):
+        discovery_protocol.parse_response(
+            head + struct.pack("!HHHIH", 0xC00C, 33, 1, 5, len(chain)) + chain, 1
+        )
 
 
 def test_a_gateway_takes_a_list_of_hundreds_and_tells_of_one_it_cannot_read(rig, monkeypatch, capfd) -> None:
