--- a/pathturn/__main__.py
+++ b/pathturn/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line."""
+"""Entry point: the gateway process, or the command line interface."""
 
 import os
 import signal
@@ -8,10 +8,11 @@
 
 def main() -> None:
     if sys.argv[1:2] == ["serve"]:
-        # Before a configuration has been read a new one is no news; by default the signal ends the process.
+        # SIGHUP asks for a reload. Before the first configuration has been read there is nothing to reload,
+        # and the signal's default action would end the process.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
     if sys.argv[1:] == ["serve"]:
-        from pathturn.process.start import serve  # as the platform starts it: all it is told is in variables
+        from pathturn.process.start import serve  # started by the platform, which sets environment variables
 
         serve(
             *(
--- a/pathturn/core/choice.py
+++ b/pathturn/core/choice.py
@@ -14,83 +14,185 @@
 from pathturn.core import interface as names
 from pathturn.structures.sliding_window import SlidingWindowSum
 
-PERIOD_US, SMOOTH_US, TICK_US = 1_000_000, 3_000_000, 25_000  # the first two as the design starts
-SLICE = 0.1  # of the way from the even start to what reports suggest, a step of the solver
-THREADS_PER_CORE = 1.3  # more than one, since threads wait for disks; engines thrash soon beyond
-CROWDED = 1.9  # latency over work: above it an engine's cores, disks or memory are overcommitted
-WIDEST, NARROWEST = 1.6, 0.15
-SMALL, DEBT_US = 3.0, 2_000_000  # small: under so many times what is usual in the group of least work
-BAD_PLAN = 3.5  # times the expected run: estimates scatter by less, bad plans by more
-REFERENCE_LOAD = 0.85  # the rules' capacity is the rate at which this share of the cores is busy
-LOADS = ("held", "utilisation", "disks", "memory")
-ASKS = 0.25  # probes a batch taken
-Dispatch = namedtuple("Dispatch", "batch sent load")
-# Of a key held: more, written again so far apart as clients do, would outlast the patience they tell. No more
-# than takes a quarter of the group's time limit, since that much is taken off what each of them tells.
-MAX_KEY_QUEUE, APART_US, ROW_PART = 32, 60_000, 4
-SKIPS = 24  # held batches looked past in a round: bounds the work when the first ones have nowhere to go
-
-
-def row(group: names.ServiceGroup) -> int:
-    """How many batches of one key are held at most."""
-    return max(1, min(MAX_KEY_QUEUE, group.time_limit_us // (ROW_PART * APART_US)))
-
-
-class Learned:
+CONTROL_PERIOD_US = 1_000_000
+LOAD_SMOOTHING_US = 3_000_000
+POLL_INTERVAL_US = 25_000
+IDLE_POLL_FACTOR = 4  # longer poll interval while dispatches are in flight but no batch is ready
+
+# Fields of an engine's report that state its load, best first: cores before disks before memory.
+LOAD_FIELDS = ("held", "utilisation", "disks", "memory")
+SOLVER_STEP = 0.1  # of the way from equal load per core to the split that the reported loads suggest
+LATENCY_WINDOW_US = 30 * CONTROL_PERIOD_US
+LATENCY_BUCKETS = 6
+POOLED_SAMPLES = 5.0  # an engine with fewer samples is fitted with pooled ones as well
+
+THREADS_PER_CORE = 1.3  # above one, as threads wait for disks; engines thrash soon beyond it
+OVERLOAD_SLOWDOWN = 1.9  # latency over work; above it cores, disks or memory of an engine are overcommitted
+# Concurrency limits, as multiples of one engine's threads.
+MAX_CONCURRENCY_LIMIT = 1.6
+MIN_CONCURRENCY_LIMIT = 0.15
+INITIAL_CONCURRENCY_LIMIT = 1.2  # divided by the number of gateways
+LIMIT_DECREASE_FACTOR = 0.85
+LIMIT_INCREASE = 0.1
+SLOWDOWN_SMOOTHING = 0.15
+SMALL_BATCH_RATIO = 3.0  # a small batch has less work than this multiple of the smallest typical work
+MAX_DEBT_US = 2_000_000
+
+OUTCOME_WINDOW_US = 3 * CONTROL_PERIOD_US
+OUTCOME_BUCKETS = 6
+EJECTION_MIN_ERRORS = 2
+EJECTION_ERROR_SHARE = 0.2
+EJECTION_JITTER = 0.3
+NOTICE_TIMEOUT_FACTOR = 1.6
+NOTICE_TIMEOUT_SLACK_US = 300_000
+# Silence that ejects an engine which sends no notices.
+SILENCE_RUNTIME_FACTOR = 4
+SILENCE_SLACK_US = 2 * CONTROL_PERIOD_US
+
+BAD_PLAN_RATIO = 3.5  # multiple of the expected run time: estimates scatter by less, bad plans by more
+BAD_PLAN_MIN_SAVING = 1.5  # run times that a restart must save at least
+MIN_PROGRESS = 0.02
+PROBES_PER_BATCH = 0.25
+DEDUP_WINDOW_SHARE = 0.95  # a repeat is sent only this far into the window in which engines drop it
+
+TARGET_SPILL_SHARE = 0.15
+TARGET_SPILL_SHARE_PAGING = 0.02
+
+# The rules state an engine's capacity as the rate at which this share of its cores is busy.
+REFERENCE_UTILISATION = 0.85
+SLOW_START_MARGIN = 0.6
+SLOW_START_DRAW_SHARE = 0.5
+SLOW_START_BUCKETS = 10
+RETRY_BUDGET_BUCKETS = 20
+
+# Clients resend pushed-back batches of one key this far apart, so a longer queue would outlast the time that
+# they wait. Resending may use a quarter of the group's time limit, as that much is subtracted from the time
+# that each client states.
+MAX_KEY_QUEUE = 32
+KEY_RESEND_INTERVAL_US = 60_000
+KEY_RESEND_TIME_LIMIT_PART = 4
+
+MAX_SKIPPED_BATCHES = 24  # per pool and round; bounds the work when the first batches fit no engine
+CREDIT_LIMIT = 5.0
+MIN_CREDIT = -10.0
+MAX_CREDIT_CHARGE = 10.0
+CACHED_DATA_SETS = 8  # per engine
+CACHED_DATA_SET_CREDIT = 0.5
+TRIED_ENGINE_PENALTY = 100
+
+Dispatch = namedtuple("Dispatch", "batch sent_us load")
+
+
+def max_key_queue(group: names.ServiceGroup) -> int:
+    """Return how many batches of one key may be held at once."""
+    return max(
+        1, min(MAX_KEY_QUEUE, group.time_limit_us // (KEY_RESEND_TIME_LIMIT_PART * KEY_RESEND_INTERVAL_US))
+    )
+
+
+class LatencyModel:
+    """Run-time statistics of one service group: typical work, estimate bias, slowdown and memory grants."""
+
     def __init__(self, group: names.ServiceGroup, pages: bool) -> None:
-        self.group, self.usual = group, float(group.response_goal_us) * group.threads / 2
-        self.bias, self.grant, self.spills = 1.0, 2.0, 0.02 if pages else 0.15
-        self.pace, self.latency, self.seen = 1.5, 0.0, 0
-
-    def returned(self, batch: "Batch", latency: int, work_us: int) -> float:
-        """Takes a sample, and tells by how much the batch ran longer than it would have alone."""
-        self.seen += 1
-        rate, threads = max(0.03, 1 / (self.seen + 4)), self.group.threads
-        self.latency += (latency - self.latency) / min(self.seen, 100)
-        if batch.hint and work_us:
-            self.bias += rate * (min(4.0, max(0.2, work_us / batch.hint)) - self.bias)
-        elif batch.hint:
-            # Without a told cost the median latency stands for the work: means follow bad plans and crowds.
-            self.bias *= exp(rate * (-0.5 if latency * threads / batch.hint < self.bias else 0.5))
-        # Settles where the wanted share of dispatches spills: few where engines page and a surplus is free.
-        self.grant = min(8.0, max(0.3, self.grant * (1 + rate * (batch.spilt - self.spills))))
-        stretch = min(10.0, latency * threads / max(1.0, work_us or batch.work))
-        self.pace += 0.05 * (max(1.0, stretch) - self.pace)
-        return stretch if work_us else 0.75 * stretch
+        self.group = group
+        self.typical_work_us = float(group.response_goal_us) * group.threads / 2
+        self.work_bias = 1.0
+        self.grant_factor = 2.0
+        self.target_spill_share = TARGET_SPILL_SHARE_PAGING if pages else TARGET_SPILL_SHARE
+        self.slowdown = 1.5
+        self.mean_latency_us = 0.0
+        self.samples = 0
+
+    def record_returned(self, batch: "Batch", latency: int, work_us: int) -> float:
+        """Add a sample and return its slowdown: its latency over the run time of the batch alone."""
+        self.samples += 1
+        rate = max(0.03, 1 / (self.samples + 4))
+        threads = self.group.threads
+        self.mean_latency_us += (latency - self.mean_latency_us) / min(self.samples, 100)
+        if batch.work_hint_us and work_us:
+            self.work_bias += rate * (min(4.0, max(0.2, work_us / batch.work_hint_us)) - self.work_bias)
+        elif batch.work_hint_us:
+            # Without a reported cost the median latency stands for the work: a mean would follow bad plans
+            # and overloaded engines.
+            self.work_bias *= exp(
+                rate * (-0.5 if latency * threads / batch.work_hint_us < self.work_bias else 0.5)
+            )
+        # Converges where the target share of dispatches spills: a small one where engines page, as there a
+        # larger grant costs nothing.
+        self.grant_factor = min(
+            8.0, max(0.3, self.grant_factor * (1 + rate * (batch.spilled - self.target_spill_share)))
+        )
+        slowdown = min(10.0, latency * threads / max(1.0, work_us or batch.work_us))
+        self.slowdown += 0.05 * (max(1.0, slowdown) - self.slowdown)
+        return slowdown if work_us else 0.75 * slowdown
 
 
 class Batch:
-    def __init__(self, index: int, learned: Learned, now: int, left_us: int, work_us: int, memory_mb: float):
-        self.index, self.learned, self.group, self.deadline = index, learned, learned.group, now + left_us
-        self.hint, self.memory_hint, self.last = work_us, memory_mb, self.deadline - 2 * TICK_US
-        self.work = max(1_000.0, work_us * learned.bias or learned.usual)
-        self.solo = self.work / self.group.threads
-        # Counted from this try: a short time left may be a late try, but also a client that waits less.
-        self.goal = now + self.group.response_goal_us + int(self.group.goal_runtime_factor * self.solo)
-        self.sends, self.kills, self.tried, self.out = 0, 0, set(), {}
-        self.over = self.small = self.spilt = False
-        self.ran_since = self.ran_at = self.key = self.data_set = self.destination = self.pool = (
-            self.entry
-        ) = None
-
-    def may_resend(self, now: int) -> bool:
+    """An open batch, with its estimates and its dispatches in flight."""
+
+    def __init__(
+        self,
+        index: int,
+        model: LatencyModel,
+        now: int,
+        left_us: int,
+        work_hint_us: int,
+        memory_hint_mb: float,
+    ):
+        self.index = index
+        self.model = model
+        self.group = model.group
+        self.deadline_us = now + left_us
+        self.work_hint_us = work_hint_us
+        self.memory_hint_mb = memory_hint_mb
+        self.expires_us = self.deadline_us - 2 * POLL_INTERVAL_US
+        self.work_us = max(1_000.0, work_hint_us * model.work_bias or model.typical_work_us)
+        self.run_time_us = self.work_us / self.group.threads  # on an idle engine
+        # Counted from this attempt: a short time left may mean a late attempt of the client, but also a
+        # client that waits for less time.
+        self.goal_deadline_us = (
+            now + self.group.response_goal_us + int(self.group.goal_runtime_factor * self.run_time_us)
+        )
+        self.dispatch_count = 0
+        self.restarts = 0
+        self.tried_engines = set()
+        self.in_flight = {}
+        self.ended = False
+        self.is_small = False
+        self.spilled = False
+        self.may_have_run_since_us = None
+        self.may_have_run_on = None
+        self.key = None
+        self.data_set = None
+        self.destination = None
+        self.pool = None
+        self.queue_entry = None
+
+    def may_dispatch(self, now: int) -> bool:
+        """Return whether a dispatch now can't have a second effect, by the kind of the service group."""
         return (
-            self.ran_since is None
+            self.may_have_run_since_us is None
             or self.group.kind == names.REPEATABLE
             or (
                 self.group.kind == names.REFERENCED
-                and now - self.ran_since < 0.95 * self.group.dedup_window_us
+                and now - self.may_have_run_since_us < DEDUP_WINDOW_SHARE * self.group.dedup_window_us
             )
         )
 
-    def harmless(self) -> bool:
-        """Whether a pushback would tell the truth: trying again cannot have a second effect."""
+    def may_push_back(self) -> bool:
+        """Return whether the client may be told to retry: a retry can't have a second effect."""
         dropped = self.group.kind == names.REFERENCED and self.group.dedup_scope == "all"
-        return dropped or self.group.kind == names.REPEATABLE or (self.ran_since is None and not self.out)
+        return (
+            dropped
+            or self.group.kind == names.REPEATABLE
+            or (self.may_have_run_since_us is None and not self.in_flight)
+        )
 
-    def allowed(self, engine: "Engine") -> bool:
-        """Placement, and for a referenced batch that may have run the engines that drop its repeat."""
-        group, first = self.group, self.ran_at
+    def allows_engine(self, engine: "Engine") -> bool:
+        """Check placement; a referenced batch that may have run is limited to the engines that drop its
+        repeat."""
+        group = self.group
+        first = self.may_have_run_on
         if (
             (group.zones is not None and engine.zone not in group.zones)
             or (group.machines is not None and engine.machine not in group.machines)
@@ -103,128 +205,191 @@
         )
 
 
-class Window:
-    """Own threads out at once, in parts of an engine: opens while it binds, closes while answers run long."""
-
-    def __init__(self, width: float, narrowest: float, widest: float, now: int, weight: float = 1.0) -> None:
-        self.width, self.narrowest, self.widest, self.weight = width, narrowest, widest, weight
-        self.stretch, self.cut_at, self.pressed = 1.0, now, False
-
-    def cut(self, now: int) -> None:
-        if now - self.cut_at >= PERIOD_US:
-            self.cut_at, self.width = now, max(self.narrowest, 0.85 * self.width)
+class ConcurrencyLimit:
+    """Adaptive limit on this gateway's threads in use, as a multiple of one engine's threads. Increases while
+    it is reached and decreases while the measured slowdown is high."""
 
-    def learn(self, now: int, stretch: float) -> None:
-        self.stretch += 0.15 * (self.weight * stretch - self.stretch)
-        if self.stretch > CROWDED:
-            self.cut(now)
-        elif self.pressed:
-            opened = self.width + 0.1 * (1 - self.stretch / CROWDED)
-            self.width, self.pressed = min(self.widest, opened), False
-
-    def fits(self, wanted: float, free: bool) -> bool:
-        """Whether that much may be out; what is free may always take one."""
-        self.pressed = self.pressed or not (free or wanted <= self.width)
-        return free or wanted <= self.width
+    def __init__(
+        self, limit: float, min_limit: float, max_limit: float, now: int, slowdown_weight: float = 1.0
+    ) -> None:
+        self.limit = limit
+        self.min_limit = min_limit
+        self.max_limit = max_limit
+        self.slowdown_weight = slowdown_weight
+        self.slowdown = 1.0
+        self.decreased_us = now
+        self.was_reached = False
+
+    def decrease(self, now: int) -> None:
+        """Decrease the limit, at most once per control period."""
+        if now - self.decreased_us >= CONTROL_PERIOD_US:
+            self.decreased_us = now
+            self.limit = max(self.min_limit, LIMIT_DECREASE_FACTOR * self.limit)
+
+    def record_slowdown(self, now: int, slowdown: float) -> None:
+        self.slowdown += SLOWDOWN_SMOOTHING * (self.slowdown_weight * slowdown - self.slowdown)
+        if self.slowdown > OVERLOAD_SLOWDOWN:
+            self.decrease(now)
+        elif self.was_reached:
+            increased = self.limit + LIMIT_INCREASE * (1 - self.slowdown / OVERLOAD_SLOWDOWN)
+            self.limit = min(self.max_limit, increased)
+            self.was_reached = False
+
+    def allows(self, wanted: float, is_idle: bool) -> bool:
+        """Return whether `wanted` may be in use; a single dispatch always may where it is idle."""
+        self.was_reached = self.was_reached or not (is_idle or wanted <= self.limit)
+        return is_idle or wanted <= self.limit
 
 
 class Engine:
-    def __init__(self, index: int, width: float, credit: float, now: int) -> None:
-        self.index, self.credit, self.share, self.threads = index, credit, 0.0, 0
-        self.window = Window(width, NARROWEST, WIDEST, now)
-        self.state, self.started, self.cold_until, self.load, self.load_at = names.GONE, 0, 0, 0.0, -inf
-        self.line, self.answers = (
-            SlidingWindowSum(30 * PERIOD_US, 6, 5),
-            SlidingWindowSum(3 * PERIOD_US, 6, 2),
-        )
-        self.heard, self.shut_until, self.out, self.sent, self.bears = now, 0, {}, None, 0.0
-        self.warm = deque(maxlen=8)
-
-    def holds(self, data_set: int) -> bool:
+    """One engine as this gateway sees it: its load, concurrency limit and health."""
+
+    def __init__(self, index: int, limit: float, credit: float, now: int) -> None:
+        self.index = index
+        self.credit = credit
+        self.share = 0.0
+        self.threads_in_use = 0
+        self.concurrency_limit = ConcurrencyLimit(limit, MIN_CONCURRENCY_LIMIT, MAX_CONCURRENCY_LIMIT, now)
+        self.state = names.GONE
+        self.started_us = 0
+        self.cold_until_us = 0
+        self.load = 0.0
+        self.load_updated_us = -inf
+        # Sums for the fit of latency over load: n, x, y, x * x, x * y.
+        self.latency_samples = SlidingWindowSum(LATENCY_WINDOW_US, LATENCY_BUCKETS, 5)
+        self.outcomes = SlidingWindowSum(OUTCOME_WINDOW_US, OUTCOME_BUCKETS, 2)  # errors, all
+        self.last_heard_us = now
+        self.ejected_until_us = 0
+        self.in_flight = {}
+        self.slow_start_work = None
+        self.allowed_work_us = 0.0
+        self.cached_data_sets = deque(maxlen=CACHED_DATA_SETS)
+
+    def has_locked(self, data_set: int) -> bool:
+        """Return whether a dispatch in flight here has the data set locked."""
         return any(
-            one.batch.data_set == data_set and one.batch.group.locks_data_set for one in self.out.values()
+            dispatch.batch.data_set == data_set and dispatch.batch.group.locks_data_set
+            for dispatch in self.in_flight.values()
         )
 
-    def hear_load(self, now: int, load: float) -> None:
-        """The design's moving average; the first report stands as it is."""
-        weight = 1 - exp(-(now - self.load_at) / SMOOTH_US)
-        self.load, self.load_at = self.load + weight * (load - self.load), now
+    def record_load(self, now: int, load: float) -> None:
+        """Update the exponential moving average; the first report is taken as it is."""
+        weight = 1 - exp(-(now - self.load_updated_us) / LOAD_SMOOTHING_US)
+        self.load = self.load + weight * (load - self.load)
+        self.load_updated_us = now
+
 
+class RetryBudget:
+    """Limits retries to a share of the batches within a window, plus a fixed number. Both sums err on the
+    strict side by their oldest bucket: retries are counted too high, batches too low."""
 
-class Budget:
-    """Further dispatches: spent is counted too high, taken too low, by the oldest bucket each."""
+    def __init__(self, fixed_retries: float, retry_share: float, window_us: int) -> None:
+        self.fixed_retries = fixed_retries
+        self.retry_share = retry_share
+        self.batches = SlidingWindowSum(window_us, RETRY_BUDGET_BUCKETS)
+        self.retries = SlidingWindowSum(window_us, RETRY_BUDGET_BUCKETS)
 
-    def __init__(self, free: float, share: float, span_us: int) -> None:
-        self.free, self.share, self.taken, self.spent = (
-            free,
-            share,
-            SlidingWindowSum(span_us, 20),
-            SlidingWindowSum(span_us, 20),
+    def allows_retry(self, now: int) -> bool:
+        return (
+            self.retries.sums(now)[0] + 1
+            <= self.fixed_retries + self.retry_share * self.batches.sums(now, within=True)[0]
         )
 
-    def allows(self, now: int) -> bool:
-        return self.spent.sums(now)[0] + 1 <= self.free + self.share * self.taken.sums(now, within=True)[0]
 
+class SlowStart:
+    """Limits the work sent to an engine that is warming up.
 
-class ColdGuard:
-    """All gateways together must stay under the fall line, so each keeps to its part of the least capacity
-    a cold engine may have. Where that is less than a small batch, a lot is drawn for each window: all send
-    about half of what the engine bears by then. A gateway waits out one window of its own."""
+    All gateways together must stay below the load at which a cold engine fails, so each keeps to its share of
+    the lowest capacity that a cold engine may have. Where that share is less than a small batch, gateways
+    draw lots in each window, such that all of them send about half of the engine's current capacity. A
+    gateway that has just started sends nothing for one window.
+    """
 
     def __init__(
         self,
-        least: float,
-        cold_us: int,
-        multiple: float,
-        fall_us: int,
-        gateways: int,
+        cold_capacity: float,
+        warm_up_us: int,
+        failure_ratio: float,
+        window_us: int,
+        gateway_count: int,
         salt: object,
-        least_work: float,
+        smallest_work_us: float,
     ) -> None:
-        self.part, self.cold_us = 0.6 * multiple * least * REFERENCE_LOAD * fall_us / gateways, cold_us
-        self.from_us, self.fall_us, self.least_work, self.salt = 0, fall_us, least_work, salt
-        self.least, self.lots = least, 0.5 * fall_us / gateways / least_work
-
-    def left(self, now: int, engine: Engine) -> float:
-        """Work that this gateway may still send it now; the same for the whole round but for what is sent."""
-        if now >= engine.cold_until or not self.part:
+        self.work_per_core_us = (
+            SLOW_START_MARGIN
+            * failure_ratio
+            * cold_capacity
+            * REFERENCE_UTILISATION
+            * window_us
+            / gateway_count
+        )
+        self.warm_up_us = warm_up_us
+        self.active_from_us = 0
+        self.window_us = window_us
+        self.smallest_work_us = smallest_work_us
+        self.salt = salt
+        self.cold_capacity = cold_capacity
+        self.draw_chance_per_core = SLOW_START_DRAW_SHARE * window_us / gateway_count / smallest_work_us
+
+    def remaining_work_us(self, now: int, engine: Engine) -> float:
+        """Return how much work this gateway may still send to the engine; within a round it changes only by
+        what is sent."""
+        if now >= engine.cold_until_us or not self.work_per_core_us:
             return inf
-        mine, start = self.part * engine.cores, engine.started or engine.cold_until - self.cold_us
-        if mine < self.least_work:
-            # From its last start, of which the list may not have told: by one before that it would bear all.
-            age = max(0, now - engine.cold_until + self.cold_us)
-            warm = self.least + (1 - self.least) * age / self.cold_us
-            lot = crc32(f"{self.salt}:{engine.index}:{(now - start) // self.fall_us}".encode()) / 2**32
-            mine = self.least_work if lot < self.lots * warm * engine.cores else 0.0
-        engine.sent = engine.sent or SlidingWindowSum(self.fall_us, 10)
-        return max(0.0, mine - engine.sent.sums(now)[0]) if now >= self.from_us else 0.0
-
-
-class KeyLines:
-    """Batches of one key, in the order taken; a key rests after a dispatch that may still be running, and is
-    shut while a front holds one not proven over. Own further dispatches go out all the same."""
-
-    def __init__(self, rest_us: int) -> None:
-        self.rest_us, self.resting, self.lines, self.doubts = rest_us, {}, {}, Counter()
-
-    def open_at(self, batch: Batch) -> int | None:
-        """When the key lets it go first; None while earlier ones or a doubt stand before it."""
-        if batch.key is None or batch.sends:
-            return 0
-        first = self.lines[batch.key][0] is batch and not self.doubts[batch.key]
-        return self.resting.get(batch.key, 0) if first else None
+        allowed = self.work_per_core_us * engine.cores
+        start = engine.started_us or engine.cold_until_us - self.warm_up_us
+        if allowed < self.smallest_work_us:
+            # Counted from the last start, which the list may not show yet: counted from the one before it,
+            # the engine would seem to have its full capacity.
+            age = max(0, now - engine.cold_until_us + self.warm_up_us)
+            capacity = self.cold_capacity + (1 - self.cold_capacity) * age / self.warm_up_us
+            draw = crc32(f"{self.salt}:{engine.index}:{(now - start) // self.window_us}".encode()) / 2**32
+            allowed = (
+                self.smallest_work_us if draw < self.draw_chance_per_core * capacity * engine.cores else 0.0
+            )
+        engine.slow_start_work = engine.slow_start_work or SlidingWindowSum(
+            self.window_us, SLOW_START_BUCKETS
+        )
+        return max(0.0, allowed - engine.slow_start_work.sums(now)[0]) if now >= self.active_from_us else 0.0
 
-    def leave(self, batch: Batch) -> Batch | None:
-        line = self.lines[batch.key]
-        line.remove(batch)
-        if not line:
-            del self.lines[batch.key]
-        return line[0] if line else None
 
+class KeyQueues:
+    """FIFO queue of batches per ordering key.
 
-def fit(own: list[float], pooled: list[float]) -> tuple[float, float]:
-    """Intercept and slope; few samples lean on the pooled ones, and load never helps latency."""
-    n, x, y, xx, xy = (each + 5 / max(5.0, pooled[0]) * every for each, every in zip(own, pooled))
+    After a dispatch that may still be running the key has a quiet period. A key is blocked while the gateway
+    process reports an unresolved execution. Retries of the batch at the head are not held back.
+    """
+
+    def __init__(self, quiet_us: int) -> None:
+        self.quiet_us = quiet_us
+        self.quiet_until_us = {}
+        self.queues = {}
+        self.unresolved = Counter()
+
+    def eligible_at_us(self, batch: Batch) -> int | None:
+        """Return from when the key allows a dispatch of the batch; None while an earlier batch or an
+        unresolved execution blocks it."""
+        if batch.key is None or batch.dispatch_count:
+            return 0
+        is_first = self.queues[batch.key][0] is batch and not self.unresolved[batch.key]
+        return self.quiet_until_us.get(batch.key, 0) if is_first else None
+
+    def remove(self, batch: Batch) -> Batch | None:
+        """Remove a batch and return the one now at the head of the key's queue."""
+        queue = self.queues[batch.key]
+        queue.remove(batch)
+        if not queue:
+            del self.queues[batch.key]
+        return queue[0] if queue else None
+
+
+def fit_latency(own: list[float], pooled: list[float]) -> tuple[float, float]:
+    """Fit a line of latency over load and return its intercept and slope. Few samples are complemented with
+    pooled ones, and the slope is never negative, as load can't reduce latency."""
+    n, x, y, xx, xy = (
+        own_sum + POOLED_SAMPLES / max(POOLED_SAMPLES, pooled[0]) * pooled_sum
+        for own_sum, pooled_sum in zip(own, pooled)
+    )
     if n < 1:
         return 1.0, 0.0
     spread = xx - x * x / n
@@ -232,27 +397,41 @@
     return (y - slope * x) / n, slope
 
 
-def solve(cores: list[float], loads: list[float], lines: list[tuple], shares: list[float], part: float):
-    """Targets from the even start toward what reported loads suggest, until predicted mean response rises."""
+def solve_shares(
+    cores: list[float], loads: list[float], lines: list[tuple], shares: list[float], traffic_share: float
+):
+    """Compute each engine's share of the dispatches: move from an even split per core towards the one that
+    the reported loads suggest, until the predicted mean response time rises."""
     even = [core / sum(cores) for core in cores]
     floor = 0.05 + 0.25 * sum(loads) / len(loads)
     room = [core / (floor + load) for core, load in zip(cores, loads)]
     suggested = [each / sum(room) for each in room]
 
-    def response(target: list[float]) -> float:
-        at = (load * (1 + part * (to / share - 1)) for load, to, share in zip(loads, target, shares))
-        return sum(to * (line[0] + line[1] * max(0.0, load)) for to, line, load in zip(target, lines, at))
+    def mean_response(target: list[float]) -> float:
+        predicted_loads = (
+            load * (1 + traffic_share * (to / share - 1)) for load, to, share in zip(loads, target, shares)
+        )
+        return sum(
+            to * (line[0] + line[1] * max(0.0, load))
+            for to, line, load in zip(target, lines, predicted_loads)
+        )
 
-    target, best = even, response(even)
-    for _ in range(round(1 / SLICE)):
-        step = [have + SLICE * (to - start) for have, to, start in zip(target, suggested, even)]
-        if (predicted := response(step)) >= best:
+    target = even
+    best = mean_response(even)
+    for _ in range(round(1 / SOLVER_STEP)):
+        candidate = [
+            current + SOLVER_STEP * (to - start) for current, to, start in zip(target, suggested, even)
+        ]
+        if (predicted := mean_response(candidate)) >= best:
             break
-        target, best = step, predicted
+        target = candidate
+        best = predicted
     return target
 
 
 class GatewayDispatcher:
+    """Decides for one gateway; see `interface.Dispatcher` for the events."""
+
     def __init__(
         self,
         *,
@@ -276,431 +455,569 @@
         retry_budget,
         reports_costs,
     ) -> None:
-        self.seed, self.instance, self.counter = seed, instance, count()
-        self.learned = [Learned(group, pages_on_shortage or not sets_memory_grants) for group in groups]
-        self.cores, self.gateway_count = cores_by_machine, max(1, gateway_count)
-        self.grants, self.note_us, self.costs = sets_memory_grants, notice_interval_us, reports_costs
-        # Of utilisations, cores before disks before memory: the design's order, carried on where it ends.
-        self.load_field = next((field for field in LOADS if field in report_fields), None)
-        self.fields, self.probes, self.step_us, self.stopping = (
-            report_fields,
-            probes,
-            min_round_interval_us,
-            False,
-        )
-        self.max_dispatches, self.may_cancel, self.retry_us = max_dispatches, may_cancel, max_retry_after_us
-        self.budget = Budget(*(retry_budget or (inf, 0.0, PERIOD_US)))
-        self.cold = ColdGuard(
-            *slow_start, self.gateway_count, (seed, instance), min(one.usual for one in self.learned)
+        self.seed = seed
+        self.instance = instance
+        self.counter = count()
+        self.models = [LatencyModel(group, pages_on_shortage or not sets_memory_grants) for group in groups]
+        self.cores_by_machine = cores_by_machine
+        self.gateway_count = max(1, gateway_count)
+        self.sets_memory_grants = sets_memory_grants
+        self.notice_interval_us = notice_interval_us
+        self.reports_costs = reports_costs
+        self.load_field = next((field for field in LOAD_FIELDS if field in report_fields), None)
+        self.report_fields = report_fields
+        self.probes = probes
+        self.min_round_interval_us = min_round_interval_us
+        self.shutting_down = False
+        self.max_dispatches = max_dispatches
+        self.may_cancel = may_cancel
+        self.max_retry_after_us = max_retry_after_us
+        self.retry_budget = RetryBudget(*(retry_budget or (inf, 0.0, CONTROL_PERIOD_US)))
+        self.slow_start = SlowStart(
+            *slow_start,
+            self.gateway_count,
+            (seed, instance),
+            min(model.typical_work_us for model in self.models),
         )
-        self.keys, self.ask_at = KeyLines(key_quiet_us), 0 if subscribes_to_list else inf
-        self.engines, self.batches, self.ready, self.later, self.wake_at = {}, {}, {}, [], 0
-        self.mean_work = sum(each.usual for each in self.learned) / len(self.learned)
-        # Over the whole fleet: for all batches, and for small ones by themselves.
-        self.fleet, self.threads, self.engine_threads = (), [0, 0], 1.0
-        self.debt, self.debt_at, self.solved_at, self.asks, self.asked = 0.0, 0, 0, 0.0, seed
-
-    def _live(self) -> list[Engine]:
+        self.key_queues = KeyQueues(key_quiet_us)
+        self.subscribe_at_us = 0 if subscribes_to_list else inf
+        self.engines = {}
+        self.batches = {}
+        self.ready_queues = {}  # by pool: heap of batches, most urgent first
+        self.timers = []  # heap of (time, number, batch) at which a batch is reviewed
+        self.wake_at_us = 0
+        self.mean_work_us = sum(model.typical_work_us for model in self.models) / len(self.models)
+        # Over all engines: a limit for all batches, and one for small batches alone.
+        self.fleet_limits = ()
+        self.fleet_threads = [0, 0]  # in use by other batches, and by small ones
+        self.mean_engine_threads = 1.0
+        self.debt_us = 0.0
+        self.debt_updated_us = 0
+        self.shares_solved_us = 0
+        self.probe_credit = 0.0
+        self.next_probe = seed
+
+    def _ready_engines(self) -> list[Engine]:
         return [engine for engine in self.engines.values() if engine.state == names.READY]
 
-    def chance(self, identity: int) -> float:
+    def pseudo_random(self, identity: int) -> float:
+        """Return a number in [0, 1) that is reproducible for a seed."""
         return crc32(f"{self.seed}:{self.instance}:{identity}:{next(self.counter)}".encode()) / 2**32
 
     def may_start(self, index: int, now_us: int) -> bool:
-        """Asked before an attempt's first byte: a repeat's window may have ended while it waited."""
+        """Check again before the first byte of a dispatch: the window in which engines drop a repeat may have
+        ended while the dispatch waited for a connection."""
         batch = self.batches.get(index)
-        return batch is not None and batch.may_resend(now_us)
+        return batch is not None and batch.may_dispatch(now_us)
 
     def key_queue_drain_us(self, group: names.ServiceGroup) -> int:
-        """How long the last of a key's batches that were held together waits to be written again."""
-        return APART_US * row(group)
+        """Return how long clients take to resend a full queue of one key, at the interval between resends."""
+        return KEY_RESEND_INTERVAL_US * max_key_queue(group)
 
     def round(self, now_us: int, events: list[tuple], writer: names.Writer) -> None:
-        self.now, self.out = now_us, writer
-        self.cold.from_us = self.cold.from_us or now_us + self.cold.fall_us
-        self._owe(self.fleet[0].width if self.fleet else 0.0)
+        """Apply all events, then write the decisions that follow from them."""
+        self.now = now_us
+        self.writer = writer
+        self.slow_start.active_from_us = self.slow_start.active_from_us or now_us + self.slow_start.window_us
+        self._update_debt(self.fleet_limits[0].limit if self.fleet_limits else 0.0)
         for name, *fields in events:
             getattr(self, name)(*fields)
-        if now_us - self.solved_at >= PERIOD_US and self.batches and self.fleet and self._live():
-            self._solve()
-        if now_us >= self.ask_at:
-            self.ask_at = inf
+        if (
+            now_us - self.shares_solved_us >= CONTROL_PERIOD_US
+            and self.batches
+            and self.fleet_limits
+            and self._ready_engines()
+        ):
+            self._update_shares()
+        if now_us >= self.subscribe_at_us:
+            self.subscribe_at_us = inf
             writer.subscribe(True)
-        for engine in [each for each in self.engines.values() if each.out] if any(self.threads) else ():
-            self._silent(engine)
-        while self.later and self.later[0][0] <= now_us:
-            self._review(heapq.heappop(self.later)[2])
-        self._pump()
-        self._sleep()
-
-    def _owe(self, width: float) -> None:
-        """What one large batch has out over the window is a debt: none follows until that is paid off."""
-        over = sum(self.threads) / self.engine_threads - width
-        self.debt = min(DEBT_US * width, max(0.0, self.debt + over * (self.now - self.debt_at)))
-        self.debt_at = self.now
+        for engine in (
+            [engine for engine in self.engines.values() if engine.in_flight]
+            if any(self.fleet_threads)
+            else ()
+        ):
+            self._eject_if_silent(engine)
+        while self.timers and self.timers[0][0] <= now_us:
+            self._review(heapq.heappop(self.timers)[2])
+        self._dispatch_ready()
+        self._schedule_next_round()
+
+    def _update_debt(self, limit: float) -> None:
+        """Integrate threads in use above the fleet's limit over time, as one large batch may exceed it; no
+        large batch follows until that debt is paid off."""
+        excess = sum(self.fleet_threads) / self.mean_engine_threads - limit
+        self.debt_us = min(
+            MAX_DEBT_US * limit, max(0.0, self.debt_us + excess * (self.now - self.debt_updated_us))
+        )
+        self.debt_updated_us = self.now
 
     def timer_fired(self, tag: int) -> None: ...
 
     def shutdown(self, left_us: int) -> None:
-        self.stopping = True  # what is not out yet has better chances elsewhere, and is told so at once
+        # Batches that were never dispatched are pushed back at once: another gateway serves them sooner.
+        self.shutting_down = True
         for batch in list(self.batches.values()):
-            batch.last = min(batch.last, self.now + left_us)
-            heapq.heappush(self.later, (batch.last, next(self.counter), batch))
+            batch.expires_us = min(batch.expires_us, self.now + left_us)
+            heapq.heappush(self.timers, (batch.expires_us, next(self.counter), batch))
             self._review(batch)
 
-    def _sleep(self) -> None:
-        """Asks for the next round only where one is needed: most gateways have little traffic."""
-        poll = self.now + TICK_US * (1 if any(self.ready.values()) else 4 if any(self.threads) else inf)
-        due = min(self.later[0][0] if self.later else inf, self.ask_at, poll)
-        if due < inf and not self.now < self.wake_at <= due:
-            self.wake_at = max(due, self.now + self.step_us)
-            self.out.schedule_wakeup(self.wake_at - self.now, 0)
+    def _schedule_next_round(self) -> None:
+        """Request the next round only where one is needed: most gateways have little traffic."""
+        poll = self.now + POLL_INTERVAL_US * (
+            1 if any(self.ready_queues.values()) else IDLE_POLL_FACTOR if any(self.fleet_threads) else inf
+        )
+        due = min(self.timers[0][0] if self.timers else inf, self.subscribe_at_us, poll)
+        if due < inf and not self.now < self.wake_at_us <= due:
+            self.wake_at_us = max(due, self.now + self.min_round_interval_us)
+            self.writer.schedule_wakeup(self.wake_at_us - self.now, 0)
 
     def engine_list(self, form: int, entries: list[tuple]) -> None:
+        """Apply an engine list or a change of it; one that is unavailable is requested again later."""
         if form == names.LIST_UNAVAILABLE:
-            self.ask_at = self.now + int(PERIOD_US * (1 + self.chance(form)))
+            self.subscribe_at_us = self.now + int(CONTROL_PERIOD_US * (1 + self.pseudo_random(form)))
             return
         if form != names.LIST_DELTA:
             for index in self.engines.keys() - {entry[0] for entry in entries}:
                 self.engines[index].state = names.GONE
-        for index, zone, machine, cell, state, size, started in entries:
+        for index, zone, machine, cell, state, size, started_us in entries:
             engine = self.engines[index] = self.engines.get(index) or Engine(
-                index, 1.2 / self.gateway_count, self.chance(index), self.now
+                index, INITIAL_CONCURRENCY_LIMIT / self.gateway_count, self.pseudo_random(index), self.now
             )
-            engine.zone, engine.machine, engine.cell, engine.state = zone, machine, cell, state
-            engine.cores, engine.started = self.cores.get(machine) or size or 1, started
-            if started:
-                engine.cold_until = max(engine.cold_until, started + self.cold.cold_us)
-        # Ids are new for ever: an engine that has gone must leave nothing behind.
-        self.engines = {at: each for at, each in self.engines.items() if each.out or each.state != names.GONE}
-        live, self.solved_at = self._live(), 0
-        self.engine_threads = THREADS_PER_CORE * sum(each.cores for each in live) / len(live) if live else 1.0
-        fair = len(live) / self.gateway_count
-        if live and not self.fleet:
-            # A thin gateway hears too little to tell a crowd: where costs are told, its part is all it takes.
-            self.fleet = (
-                Window(1.2 * fair, 0.0, inf, self.now, 1.65 if self.costs else 1.0),
-                Window(4.0 * fair, 0.0, inf, self.now, 0.5),
+            engine.zone = zone
+            engine.machine = machine
+            engine.cell = cell
+            engine.state = state
+            engine.cores = self.cores_by_machine.get(machine) or size or 1
+            engine.started_us = started_us
+            if started_us:
+                engine.cold_until_us = max(engine.cold_until_us, started_us + self.slow_start.warm_up_us)
+        # Engine ids are never reused, so nothing may be kept of an engine that is gone.
+        self.engines = {
+            known_index: known
+            for known_index, known in self.engines.items()
+            if known.in_flight or known.state != names.GONE
+        }
+        ready = self._ready_engines()
+        self.shares_solved_us = 0
+        self.mean_engine_threads = (
+            THREADS_PER_CORE * sum(engine.cores for engine in ready) / len(ready) if ready else 1.0
+        )
+        fair_limit = len(ready) / self.gateway_count
+        if ready and not self.fleet_limits:
+            # A gateway with little traffic has too few samples to detect overload: where engines report
+            # costs, the higher weight keeps it to its fair share.
+            self.fleet_limits = (
+                ConcurrencyLimit(1.2 * fair_limit, 0.0, inf, self.now, 1.65 if self.reports_costs else 1.0),
+                ConcurrencyLimit(4.0 * fair_limit, 0.0, inf, self.now, 0.5),
             )
-        for window, least in zip(self.fleet, (fair, 0.3 * fair)):
-            window.narrowest, window.widest = least, WIDEST * len(live)
+        for limit, min_limit in zip(self.fleet_limits, (fair_limit, 0.3 * fair_limit)):
+            limit.min_limit = min_limit
+            limit.max_limit = MAX_CONCURRENCY_LIMIT * len(ready)
 
     def batch_received(
         self, index, group, customer, key, left_us, work_us, memory_mb, data_set, repeat, destination=None
     ) -> None:
-        learned = self.learned[group]
+        model = self.models[group]
         if work_us:
-            learned.usual += (work_us * learned.bias - learned.usual) / min(learned.seen + 5, 200)
-        batch = self.batches[index] = Batch(index, learned, self.now, left_us, work_us, memory_mb)
-        batch.data_set, batch.small = data_set, batch.work < SMALL * min(each.usual for each in self.learned)
-        self.budget.taken.add(self.now, 1)
-        self.asks += ASKS
+            model.typical_work_us += (work_us * model.work_bias - model.typical_work_us) / min(
+                model.samples + 5, 200
+            )
+        batch = self.batches[index] = Batch(index, model, self.now, left_us, work_us, memory_mb)
+        batch.data_set = data_set
+        batch.is_small = batch.work_us < SMALL_BATCH_RATIO * min(
+            other.typical_work_us for other in self.models
+        )
+        self.retry_budget.batches.add(self.now, 1)
+        self.probe_credit += PROBES_PER_BATCH
         if batch.group.ordered_by_key and key is not None:
-            batch.key, line = key, self.keys.lines.setdefault(key, deque())
-            line.append(batch)
-            batch.last = batch.last if len(line) <= row(batch.group) else self.now
-        for due in (min(batch.last, int(batch.goal - 0.5 * batch.solo) + 1), batch.last):
-            heapq.heappush(self.later, (due, next(self.counter), batch))
-        if destination is None or (pause := destination.retry_after_us(self.now)) is None:
-            self._follow(batch, destination, True)
-        else:  # over the operator's limit: told at once, since waiting would only hold others up
-            self._give_up(batch, pause)
+            batch.key = key
+            queue = self.key_queues.queues.setdefault(key, deque())
+            queue.append(batch)
+            batch.expires_us = batch.expires_us if len(queue) <= max_key_queue(batch.group) else self.now
+        for due in (
+            min(batch.expires_us, int(batch.goal_deadline_us - 0.5 * batch.run_time_us) + 1),
+            batch.expires_us,
+        ):
+            heapq.heappush(self.timers, (due, next(self.counter), batch))
+        if destination is None or (retry_after_us := destination.retry_after_us(self.now)) is None:
+            self._assign_destination(batch, destination, True)
+        else:  # over the operator's limit: pushed back at once, as waiting would only delay other batches
+            self._give_up(batch, retry_after_us)
 
     def batch_rerouted(self, index, destination) -> None:
         """Apply a changed destination to a batch that was never dispatched; others keep theirs."""
-        if (batch := self.batches.get(index)) is not None and not batch.sends and not batch.over:
-            self._follow(batch, destination, False)
+        if (batch := self.batches.get(index)) is not None and not batch.dispatch_count and not batch.ended:
+            self._assign_destination(batch, destination, False)
 
-    def _follow(self, batch: Batch, destination: names.Destination | None, new: bool) -> None:
+    def _assign_destination(self, batch: Batch, destination: names.Destination | None, is_new: bool) -> None:
         if batch.destination is not None:
             batch.destination.batch_closed()
-        batch.destination, batch.pool = destination, destination.pool if destination else None
+        batch.destination = destination
+        batch.pool = destination.pool if destination else None
         if destination is not None:
-            destination.batch_admitted(self.now, new)
+            destination.batch_admitted(self.now, is_new)
         self._review(batch)
 
     def dispatch_finished(
-        self, index, number, engine, outcome, latency, complete, work_us, memory_mb, report
+        self, index, number, engine_index, outcome, latency, complete, work_us, memory_mb, report
     ) -> None:
-        batch, engine = self.batches[index], self.engines[engine]
-        dispatch = batch.out.pop(number)
-        del engine.out[index, number]
-        engine.threads -= batch.group.threads
-        self.threads[batch.small] -= batch.group.threads
+        batch = self.batches[index]
+        engine = self.engines[engine_index]
+        dispatch = batch.in_flight.pop(number)
+        del engine.in_flight[index, number]
+        engine.threads_in_use -= batch.group.threads
+        self.fleet_threads[batch.is_small] -= batch.group.threads
         if batch.destination is not None:
             batch.destination.dispatch_done()
-        self._report(engine, report)
+        self._record_report(engine, report)
         if outcome == names.RETURNED:
-            self._returned(engine, dispatch, latency, work_us)
+            self._record_returned(engine, dispatch, latency, work_us)
         else:
-            self._blame(engine, dispatch, outcome)
-        if outcome not in names.NEVER_RAN and batch.ran_since is None:
-            batch.ran_since, batch.ran_at = dispatch.sent, engine
+            self._record_failure(engine, dispatch, outcome)
+        if outcome not in names.NEVER_RAN and batch.may_have_run_since_us is None:
+            batch.may_have_run_since_us = dispatch.sent_us
+            batch.may_have_run_on = engine
         if outcome in (names.TIMED_OUT, names.RESET, names.CANCELLED) and batch.key is not None:
-            self.keys.resting[batch.key] = self.now + self.keys.rest_us
-        batch.over = batch.over or complete
-        (self._forget if batch.over else self._review)(batch)
-
-    def engine_notice(self, index, engine, sort, level, number) -> None:
-        self.engines[engine].heard, batch = self.now, self.batches[index]
-        batch.spilt = batch.spilt or sort == names.NOTICE_SPILLING
+            self.key_queues.quiet_until_us[batch.key] = self.now + self.key_queues.quiet_us
+        batch.ended = batch.ended or complete
+        (self._remove if batch.ended else self._review)(batch)
+
+    def engine_notice(self, index, engine_index, notice_kind, level, number) -> None:
+        """Record a notice about a running dispatch; one that runs far too long is cancelled for a restart."""
+        batch = self.batches[index]
+        self.engines[engine_index].last_heard_us = self.now
+        batch.spilled = batch.spilled or notice_kind == names.NOTICE_SPILLING
         if (
-            batch.over
-            or number not in batch.out
-            or sort != names.NOTICE_PROGRESS
+            batch.ended
+            or number not in batch.in_flight
+            or notice_kind != names.NOTICE_PROGRESS
             or not self.may_cancel
-            or batch.kills
-            or batch.sends >= self.max_dispatches
+            or batch.restarts
+            or batch.dispatch_count >= self.max_dispatches
         ):
             return
-        # Against bad plans; also catches a dispatch stuck behind others' work. Does harm where an estimate is
-        # far too low: the same work starts over, so it is done only once a batch.
-        expected, spent = batch.solo * batch.learned.pace, self.now - batch.out[number].sent
-        whole = spent / max(0.02, level)
-        if batch.group.kind == names.REPEATABLE and whole > max(BAD_PLAN * expected, spent + 1.5 * expected):
-            batch.kills += 1
-            self.out.cancel(batch.index, number)
+        # Guards against bad query plans, and against a dispatch that is stuck behind other work. It does harm
+        # where an estimate is far too low, as the same work starts over; so it is done once per batch.
+        expected = batch.run_time_us * batch.model.slowdown
+        elapsed = self.now - batch.in_flight[number].sent_us
+        projected = elapsed / max(MIN_PROGRESS, level)
+        if batch.group.kind == names.REPEATABLE and projected > max(
+            BAD_PLAN_RATIO * expected, elapsed + BAD_PLAN_MIN_SAVING * expected
+        ):
+            batch.restarts += 1
+            self.writer.cancel(batch.index, number)
 
-    def probe_finished(self, engine, well, latency_us, report) -> None:
-        self._report(self.engines.get(engine), report if well else None)
+    def probe_finished(self, engine_index, succeeded, latency_us, report) -> None:
+        self._record_report(self.engines.get(engine_index), report if succeeded else None)
 
     def order_ambiguous(self, index) -> None:
-        if index in self.batches:  # sent out of its key's order it could not be taken back; now it still can
+        """End a batch whose place in its key's order is unknown: out of order, its dispatch could not be
+        undone."""
+        if index in self.batches:
             self._give_up(self.batches[index])
 
     def execution_unresolved(self, key) -> None:
-        self.keys.doubts[key] += 1
+        self.key_queues.unresolved[key] += 1
 
     def execution_ended(self, key) -> None:
-        self.keys.doubts -= Counter((key,))  # keeps what is above none
-        self.keys.resting[key] = self.now + self.keys.rest_us
-        if key in self.keys.lines:
-            self._review(self.keys.lines[key][0])
+        self.key_queues.unresolved -= Counter((key,))  # also removes keys whose count is zero
+        self.key_queues.quiet_until_us[key] = self.now + self.key_queues.quiet_us
+        if key in self.key_queues.queues:
+            self._review(self.key_queues.queues[key][0])
 
     def batch_withdrawn(self, index) -> None:
         if index in self.batches:
             self._close(self.batches[index])
 
-    def _report(self, engine: Engine | None, report: list[float] | None) -> None:
-        told = dict(zip(self.fields, (engine and report) or ()))
-        if (load := told.get(self.load_field)) is not None:
-            engine.hear_load(self.now, load / (engine.cores if self.load_field == "held" else 1))
-        if told.get("waiting", 0) > 0.5:
-            engine.window.cut(self.now)
-
-    def _returned(self, engine: Engine, dispatch: Dispatch, latency: int, work_us: int) -> None:
-        batch, learned, load = dispatch.batch, dispatch.batch.learned, dispatch.load
-        engine.heard = self.now
-        engine.answers.add(self.now, 0, 1)
-        stretch = learned.returned(batch, latency, work_us)
-        scaled = latency / learned.latency
-        engine.line.add(self.now, 1, load, scaled, load * load, load * scaled)
-        for window in (engine.window, *self.fleet[: 1 + batch.small]):
-            window.learn(self.now, stretch)
-
-    def _blame(self, engine: Engine, dispatch: Dispatch, outcome: str) -> None:
-        """By symptom: quick errors, lost connections. None is a latency sample, so none looks cheap."""
+    def _record_report(self, engine: Engine | None, report: list[float] | None) -> None:
+        fields = dict(zip(self.report_fields, (engine and report) or ()))
+        if (load := fields.get(self.load_field)) is not None:
+            engine.record_load(self.now, load / (engine.cores if self.load_field == "held" else 1))
+        if fields.get("waiting", 0) > 0.5:
+            engine.concurrency_limit.decrease(self.now)
+
+    def _record_returned(self, engine: Engine, dispatch: Dispatch, latency: int, work_us: int) -> None:
+        batch = dispatch.batch
+        model = dispatch.batch.model
+        load = dispatch.load
+        engine.last_heard_us = self.now
+        engine.outcomes.add(self.now, 0, 1)
+        slowdown = model.record_returned(batch, latency, work_us)
+        relative_latency = latency / model.mean_latency_us
+        engine.latency_samples.add(self.now, 1, load, relative_latency, load * load, load * relative_latency)
+        for limit in (engine.concurrency_limit, *self.fleet_limits[: 1 + batch.is_small]):
+            limit.record_slowdown(self.now, slowdown)
+
+    def _record_failure(self, engine: Engine, dispatch: Dispatch, outcome: str) -> None:
+        """React by kind of failure. Failures are no latency samples, so an engine that fails quickly doesn't
+        look fast."""
         if outcome in (names.FULL, names.TIMED_OUT):
-            engine.window.cut(self.now)
-            self.fleet[dispatch.batch.small].cut(self.now)
+            engine.concurrency_limit.decrease(self.now)
+            self.fleet_limits[dispatch.batch.is_small].decrease(self.now)
         if outcome in (names.ERRORED, names.RESET, names.FULL):
-            engine.answers.add(self.now, 1, 1)
-            bad, heard = engine.answers.sums(self.now)
-            if bad >= 2 and bad > 0.2 * heard:
-                self._shut(engine)
+            engine.outcomes.add(self.now, 1, 1)
+            errors, total = engine.outcomes.sums(self.now)
+            if errors >= EJECTION_MIN_ERRORS and errors > EJECTION_ERROR_SHARE * total:
+                self._eject(engine)
         elif outcome == names.CONNECT_REFUSED:
-            # Its process may have gone and come back before the list says so: take it for cold.
-            engine.cold_until = self.now + self.cold.cold_us
-            self._shut(engine)
-        elif outcome == names.UNREACHABLE and engine.heard <= dispatch.sent:
-            # A slow way to it, or a cut: no sign of a new process. Taken for cold, nothing large would fit.
-            # One that was heard meanwhile can be reached: only that connection was late.
-            self._shut(engine)
-
-    def _shut(self, engine: Engine) -> None:
-        shut = [each.shut_until > self.now for each in self._live()]
-        if engine.shut_until > self.now or 2 * sum(shut) + 2 > len(shut):
-            return  # when most look bad, the fault is more likely in this gateway's own view
-        engine.shut_until = self.now + int(PERIOD_US * (1 + 0.3 * self.chance(engine.index)))
-
-    def _silent(self, engine: Engine) -> None:
-        """Takes batches, answers none: seen when neither answers nor notes come while dispatches are out."""
-        oldest = next(iter(engine.out.values()))
-        patience = 1.6 * self.note_us + 300_000 if self.note_us else 4 * oldest.batch.solo + 2 * PERIOD_US
-        if self.now - max(engine.heard, oldest.sent) < patience:
+            # The engine's process may have restarted before the list shows it: assume that it is warming up.
+            engine.cold_until_us = self.now + self.slow_start.warm_up_us
+            self._eject(engine)
+        elif outcome == names.UNREACHABLE and engine.last_heard_us <= dispatch.sent_us:
+            # A slow or broken network path is no sign of a restart; if the engine counted as warming up, no
+            # large batch would be allowed there. An engine heard from since the dispatch can be reached: only
+            # that connection was late.
+            self._eject(engine)
+
+    def _eject(self, engine: Engine) -> None:
+        """Take an engine out of use for about one control period (outlier ejection)."""
+        ejected = [other.ejected_until_us > self.now for other in self._ready_engines()]
+        if engine.ejected_until_us > self.now or 2 * sum(ejected) + 2 > len(ejected):
+            return  # if most engines look faulty, the fault is probably on this gateway's side
+        engine.ejected_until_us = self.now + int(
+            CONTROL_PERIOD_US * (1 + EJECTION_JITTER * self.pseudo_random(engine.index))
+        )
+
+    def _eject_if_silent(self, engine: Engine) -> None:
+        """Eject an engine that accepts dispatches but sends neither answers nor notices, and cancel what is
+        in flight there."""
+        oldest = next(iter(engine.in_flight.values()))
+        timeout_us = (
+            NOTICE_TIMEOUT_FACTOR * self.notice_interval_us + NOTICE_TIMEOUT_SLACK_US
+            if self.notice_interval_us
+            else SILENCE_RUNTIME_FACTOR * oldest.batch.run_time_us + SILENCE_SLACK_US
+        )
+        if self.now - max(engine.last_heard_us, oldest.sent_us) < timeout_us:
             return
-        self._shut(engine)
-        engine.heard = self.now
-        for (index, number), dispatch in engine.out.items() if engine.shut_until > self.now else ():
-            if self.may_cancel and dispatch.batch.group.kind != names.ONCE_ONLY and not dispatch.batch.over:
-                self.out.cancel(index, number)
-
-    def _solve(self) -> None:
-        live, self.solved_at = self._live(), self.now
-        self.keys.resting = {key: until for key, until in self.keys.resting.items() if until > self.now}
-        self.ready = {
-            pool: held
-            for pool, line in self.ready.items()
-            if (held := sorted(each for each in line if each is each[2].entry and not each[2].over))
+        self._eject(engine)
+        engine.last_heard_us = self.now
+        for (index, number), dispatch in (
+            engine.in_flight.items() if engine.ejected_until_us > self.now else ()
+        ):
+            if self.may_cancel and dispatch.batch.group.kind != names.ONCE_ONLY and not dispatch.batch.ended:
+                self.writer.cancel(index, number)
+
+    def _update_shares(self) -> None:
+        """Recompute each engine's share of the dispatches, drop stale entries and send due probes."""
+        ready = self._ready_engines()
+        self.shares_solved_us = self.now
+        self.key_queues.quiet_until_us = {
+            key: until for key, until in self.key_queues.quiet_until_us.items() if until > self.now
+        }
+        self.ready_queues = {
+            pool: valid
+            for pool, queue in self.ready_queues.items()
+            if (
+                valid := sorted(
+                    entry for entry in queue if entry is entry[2].queue_entry and not entry[2].ended
+                )
+            )
         }
-        for engine in live if self.load_field is None else ():
-            engine.hear_load(self.now, len(engine.out) / engine.cores)
-        # Probes are priced by the batch: a gateway with little traffic asks little, each engine in turn.
-        asks = min(len(live), int(self.asks)) if self.probes else 0
-        for turn in range(self.asked, self.asked + asks):
-            self.out.probe(live[turn % len(live)].index)
-        self.asks, self.asked = min(self.asks - asks, 1.0), self.asked + asks
-        sums = [engine.line.sums(self.now) for engine in live]
+        for engine in ready if self.load_field is None else ():
+            engine.record_load(self.now, len(engine.in_flight) / engine.cores)
+        # Probes are earned by batches, so a gateway with little traffic sends few; engines take turns.
+        probe_count = min(len(ready), int(self.probe_credit)) if self.probes else 0
+        for turn in range(self.next_probe, self.next_probe + probe_count):
+            self.writer.probe(ready[turn % len(ready)].index)
+        self.probe_credit = min(self.probe_credit - probe_count, 1.0)
+        self.next_probe = self.next_probe + probe_count
+        sums = [engine.latency_samples.sums(self.now) for engine in ready]
         pooled = [sum(column) for column in zip(*sums)]
-        middle = sum(engine.load for engine in live) / max(1, sum(engine.load_at > -inf for engine in live))
-        shares = solve(
-            [engine.cores for engine in live],
-            [max(0.0, engine.load) if engine.load_at > -inf else middle for engine in live],
-            [fit(each, pooled) for each in sums],
-            [engine.share or 1 / len(live) for engine in live],
+        mean_load = sum(engine.load for engine in ready) / max(
+            1, sum(engine.load_updated_us > -inf for engine in ready)
+        )
+        shares = solve_shares(
+            [engine.cores for engine in ready],
+            [max(0.0, engine.load) if engine.load_updated_us > -inf else mean_load for engine in ready],
+            [fit_latency(own, pooled) for own in sums],
+            [engine.share or 1 / len(ready) for engine in ready],
             1 / self.gateway_count,
         )
-        for engine, share in zip(live, shares):
+        for engine, share in zip(ready, shares):
             engine.share = share
 
-    def _hold(self, batch: Batch) -> None:
-        late = batch.group.late_utility if self.now + batch.solo > batch.goal else 1.0
-        worth = late * batch.group.utility / batch.work
-        if (opens := self.keys.open_at(batch)) is not None:
-            held = self.later if opens > self.now else self.ready.setdefault(batch.pool, [])
-            batch.entry = (opens if opens > self.now else -worth, next(self.counter), batch)
-            heapq.heappush(held, batch.entry)
-
-    def _hopeless(self, batch: Batch) -> bool:
-        """No use left in waiting: nothing to earn, no time, or no further dispatch allowed."""
-        soonest = self.now + 0.5 * batch.solo  # estimates scatter: half the estimated run may be all of it
-        last = min(batch.last, inf if batch.group.late_utility else batch.goal)
-        spent = batch.sends >= self.max_dispatches or not batch.may_resend(self.now)
-        return soonest > last or spent or self.stopping
+    def _enqueue(self, batch: Batch) -> None:
+        """Queue a batch by its utility per work, or set a timer while its key has a quiet period."""
+        late_factor = (
+            batch.group.late_utility if self.now + batch.run_time_us > batch.goal_deadline_us else 1.0
+        )
+        urgency = late_factor * batch.group.utility / batch.work_us
+        if (eligible_at_us := self.key_queues.eligible_at_us(batch)) is not None:
+            queue = self.timers if eligible_at_us > self.now else self.ready_queues.setdefault(batch.pool, [])
+            batch.queue_entry = (
+                eligible_at_us if eligible_at_us > self.now else -urgency,
+                next(self.counter),
+                batch,
+            )
+            heapq.heappush(queue, batch.queue_entry)
+
+    def _cannot_succeed(self, batch: Batch) -> bool:
+        """Return whether waiting is of no use: no utility left to gain, no time, or no dispatch allowed."""
+        earliest_end = self.now + 0.5 * batch.run_time_us  # the actual run may take half of the estimate
+        latest_end = min(batch.expires_us, inf if batch.group.late_utility else batch.goal_deadline_us)
+        exhausted = batch.dispatch_count >= self.max_dispatches or not batch.may_dispatch(self.now)
+        return earliest_end > latest_end or exhausted or self.shutting_down
 
     def _review(self, batch: Batch) -> None:
-        # Ended while still out: with a key, which its dispatch holds until it is surely over, or at a stop.
-        late = self.now >= batch.last and (self.stopping or batch.key is not None)
-        if not batch.over and (late or not batch.out):
-            (self._give_up if self._hopeless(batch) else self._hold)(batch)
-
-    def _give_up(self, batch: Batch, pause: int = 0) -> None:
-        if batch.harmless():
-            usual = int(self.retry_us * (0.5 + 0.5 * self.chance(batch.index)))
-            self.out.push_back(batch.index, min(pause, self.retry_us) or usual)
+        """Queue an open batch or end it."""
+        # Ended while still in flight: at a shutdown, or if it has a key, which its dispatch blocks until that
+        # has certainly ended.
+        expired = self.now >= batch.expires_us and (self.shutting_down or batch.key is not None)
+        if not batch.ended and (expired or not batch.in_flight):
+            (self._give_up if self._cannot_succeed(batch) else self._enqueue)(batch)
+
+    def _give_up(self, batch: Batch, retry_after_us: int = 0) -> None:
+        """Push a batch back, or end it with an error if a retry could have a second effect."""
+        if batch.may_push_back():
+            default_us = int(self.max_retry_after_us * (0.5 + 0.5 * self.pseudo_random(batch.index)))
+            self.writer.push_back(batch.index, min(retry_after_us, self.max_retry_after_us) or default_us)
         else:
-            self.out.error(batch.index)
+            self.writer.error(batch.index)
         self._close(batch)
 
     def _close(self, batch: Batch) -> None:
-        batch.over = True
-        for number in batch.out if self.may_cancel else ():
-            self.out.cancel(batch.index, number)
-        self._forget(batch)
-
-    def _forget(self, batch: Batch) -> None:
-        if batch.out or self.batches.pop(batch.index, None) is None:
+        """Mark a batch as ended and cancel its dispatches in flight."""
+        batch.ended = True
+        for number in batch.in_flight if self.may_cancel else ():
+            self.writer.cancel(batch.index, number)
+        self._remove(batch)
+
+    def _remove(self, batch: Batch) -> None:
+        """Remove an ended batch once nothing of it is in flight; the next batch of its key follows."""
+        if batch.in_flight or self.batches.pop(batch.index, None) is None:
             return
         if batch.destination is not None:
             batch.destination.batch_closed()
-        if batch.key is not None and (following := self.keys.leave(batch)):
+        if batch.key is not None and (following := self.key_queues.remove(batch)):
             self._review(following)
 
-    def _choose(self, batch: Batch) -> Engine | None:
-        """The one way out: order, limits on further dispatches, the fleet's window, an engine. Most batches
-        are alike: what no engine takes, none takes later in the round, unless it is smaller."""
-        group, work, opens = batch.group, max(batch.learned.usual, batch.work), self.keys.open_at(batch)
-        locks, sort = (
-            group.locks_data_set or group.waits_for_data_set,
-            (batch.destination, batch.learned, batch.small),
-        )
-        out = self.threads[1] if batch.small else sum(self.threads)
-        wanted, free = (out + group.threads) / self.engine_threads, batch.small or not self.debt
+    def _select_engine(self, batch: Batch) -> Engine | None:
+        """Select an engine, or return None if order, the retry budget, a limit or every engine's state is in
+        the way. Most batches are alike: where no engine is found for one, none is found later in the round
+        for a batch of the same class, unless that is smaller."""
+        group = batch.group
+        work = max(batch.model.typical_work_us, batch.work_us)
+        eligible_at_us = self.key_queues.eligible_at_us(batch)
+        needs_unlocked = group.locks_data_set or group.waits_for_data_set
+        batch_class = (batch.destination, batch.model, batch.is_small)
+        threads = self.fleet_threads[1] if batch.is_small else sum(self.fleet_threads)
+        wanted = (threads + group.threads) / self.mean_engine_threads
+        has_no_debt = batch.is_small or not self.debt_us
         if (
-            opens is None
-            or opens > self.now
-            or batch.work >= self.refused.get(sort, inf)
-            or (batch.sends and not self.budget.allows(self.now))
+            eligible_at_us is None
+            or eligible_at_us > self.now
+            or batch.work_us >= self.unplaceable_work.get(batch_class, inf)
+            or (batch.dispatch_count and not self.retry_budget.allows_retry(self.now))
             or (
                 batch.destination is not None
-                and not batch.destination.allows_dispatch(self.now, batch.sends > 0)
+                and not batch.destination.allows_dispatch(self.now, batch.dispatch_count > 0)
+            )
+            or not (
+                self.fleet_limits
+                and self.fleet_limits[batch.is_small].allows(wanted, has_no_debt and not threads)
             )
-            or not (self.fleet and self.fleet[batch.small].fits(wanted, free and not out))
         ):
             return None
-        fits = (
-            each
-            for each in self.open
-            if work <= each.bears
-            and batch.allowed(each)
-            and not (locks and each.holds(batch.data_set))
-            and each.window.fits(
-                (each.threads + group.threads) / (each.cores * THREADS_PER_CORE), not each.out
+        suitable = (
+            engine
+            for engine in self.available_engines
+            if work <= engine.allowed_work_us
+            and batch.allows_engine(engine)
+            and not (needs_unlocked and engine.has_locked(batch.data_set))
+            and engine.concurrency_limit.allows(
+                (engine.threads_in_use + group.threads) / (engine.cores * THREADS_PER_CORE),
+                not engine.in_flight,
             )
         )
-        chosen = max(
-            fits,
+        selected = max(
+            suitable,
             default=None,
-            key=lambda each: each.credit
-            + 0.5 * (batch.data_set in each.warm)
-            - 100 * (each.index in batch.tried),
+            key=lambda engine: engine.credit
+            + CACHED_DATA_SET_CREDIT * (batch.data_set in engine.cached_data_sets)
+            - TRIED_ENGINE_PENALTY * (engine.index in batch.tried_engines),
         )
-        if chosen is None and not (batch.sends or locks):
-            self.refused[sort] = batch.work
-        return chosen
-
-    def _pump(self) -> None:
-        """Best first over all pools; one with nowhere to go must not use up the others' looks."""
-        passed, self.refused = defaultdict(list), {}
-        for engine in (live := self._live() if self.ready else ()):
-            engine.bears = self.cold.left(self.now, engine) if engine.shut_until <= self.now else 0.0
-        self.open = [engine for engine in live if engine.bears]
-        while lines := [pool for pool, line in self.ready.items() if line and len(passed[pool]) < SKIPS]:
-            pool = min(lines, key=lambda each: self.ready[each][0]) if len(lines) > 1 else lines[0]
-            entry = _, _, batch = heapq.heappop(self.ready[pool])
-            if batch.over or batch.out or entry is not batch.entry:
+        if selected is None and not (batch.dispatch_count or needs_unlocked):
+            self.unplaceable_work[batch_class] = batch.work_us
+        return selected
+
+    def _dispatch_ready(self) -> None:
+        """Dispatch ready batches, most urgent first over all pools. Skipped batches are counted per pool, so
+        that those of a pool without a free engine don't use up the attempts of the others."""
+        skipped = defaultdict(list)
+        self.unplaceable_work = {}
+        for engine in (ready := self._ready_engines() if self.ready_queues else ()):
+            engine.allowed_work_us = (
+                self.slow_start.remaining_work_us(self.now, engine)
+                if engine.ejected_until_us <= self.now
+                else 0.0
+            )
+        self.available_engines = [engine for engine in ready if engine.allowed_work_us]
+        while pools := [
+            pool
+            for pool, queue in self.ready_queues.items()
+            if queue and len(skipped[pool]) < MAX_SKIPPED_BATCHES
+        ]:
+            pool = min(pools, key=lambda each: self.ready_queues[each][0]) if len(pools) > 1 else pools[0]
+            entry = _, _, batch = heapq.heappop(self.ready_queues[pool])
+            if batch.ended or batch.in_flight or entry is not batch.queue_entry:
                 continue
-            if self._hopeless(batch):
+            if self._cannot_succeed(batch):
                 self._give_up(batch)
-            elif engine := self._choose(batch):
-                self._send(batch, engine)
+            elif engine := self._select_engine(batch):
+                self._dispatch(batch, engine)
             else:
-                passed[pool].append(entry)
-        for pool, entries in passed.items():
+                skipped[pool].append(entry)
+        for pool, entries in skipped.items():
             for entry in entries:
-                heapq.heappush(self.ready[pool], entry)
+                heapq.heappush(self.ready_queues[pool], entry)
 
-    def _send(self, batch: Batch, engine: Engine) -> None:
-        batch.out[batch.sends] = engine.out[batch.index, batch.sends] = Dispatch(batch, self.now, engine.load)
-        engine.threads += batch.group.threads
-        self.threads[batch.small] += batch.group.threads
-        self.budget.spent.add(self.now, batch.sends > 0)
+    def _dispatch(self, batch: Batch, engine: Engine) -> None:
+        batch.in_flight[batch.dispatch_count] = engine.in_flight[batch.index, batch.dispatch_count] = (
+            Dispatch(batch, self.now, engine.load)
+        )
+        engine.threads_in_use += batch.group.threads
+        self.fleet_threads[batch.is_small] += batch.group.threads
+        self.retry_budget.retries.add(self.now, batch.dispatch_count > 0)
         if batch.destination is not None:
-            batch.destination.dispatch_sent(self.now, batch.sends > 0)
-        work = max(batch.learned.usual, batch.work)
-        if engine.sent:
-            engine.sent.add(self.now, work)
-        engine.bears -= work
-        batch.sends += 1
-        batch.tried.add(engine.index)
-        engine.warm.append(batch.data_set)
-        self._debit(engine, batch.work)
-        grant = round(batch.learned.grant * batch.memory_hint) if self.grants else 0
-        self.out.set_resources(batch.index, self._priority(batch), grant)
-        # Its time-out, the round that hears of it and the answer come one after the other, in time.
-        self.out.dispatch(batch.index, engine.index, max(1, batch.deadline - TICK_US - self.now))
-
-    def _debit(self, chosen: Engine, work: float) -> None:
-        """Weighted round robin in units of usual work: follows the solved rates with little variance."""
-        self.mean_work += 0.02 * (work - self.mean_work)
-        size = min(10.0, work / self.mean_work)
-        for engine in self._live():
-            engine.credit = min(5.0, engine.credit + engine.share * size)
-        chosen.credit = max(-10.0, chosen.credit - size)
+            batch.destination.dispatch_sent(self.now, batch.dispatch_count > 0)
+        work = max(batch.model.typical_work_us, batch.work_us)
+        if engine.slow_start_work:
+            engine.slow_start_work.add(self.now, work)
+        engine.allowed_work_us -= work
+        batch.dispatch_count += 1
+        batch.tried_engines.add(engine.index)
+        engine.cached_data_sets.append(batch.data_set)
+        self._charge_credit(engine, batch.work_us)
+        grant = round(batch.model.grant_factor * batch.memory_hint_mb) if self.sets_memory_grants else 0
+        self.writer.set_resources(batch.index, self._priority(batch), grant)
+        # The dispatch must time out early enough for the round that handles it and for the answer.
+        self.writer.dispatch(
+            batch.index, engine.index, max(1, batch.deadline_us - POLL_INTERVAL_US - self.now)
+        )
+
+    def _charge_credit(self, selected: Engine, work: float) -> None:
+        """Smooth weighted round robin in units of the mean work: follows the shares with little variance."""
+        self.mean_work_us += 0.02 * (work - self.mean_work_us)
+        charge = min(MAX_CREDIT_CHARGE, work / self.mean_work_us)
+        for engine in self._ready_engines():
+            engine.credit = min(CREDIT_LIMIT, engine.credit + engine.share * charge)
+        selected.credit = max(MIN_CREDIT, selected.credit - charge)
 
     def _priority(self, batch: Batch) -> int:
-        """A load frees its data set; small batches take little from others and are late soonest."""
-        part = batch.group.utility / batch.work / max(one.group.utility / one.usual for one in self.learned)
+        """Return the priority on the engine, 3 the highest. A batch that locks a data set should end soon;
+        small batches use few resources and miss their response goal first."""
+        relative_value = (
+            batch.group.utility
+            / batch.work_us
+            / max(model.group.utility / model.typical_work_us for model in self.models)
+        )
         return (
-            3 if batch.group.locks_data_set or batch.small else 2 if part > 0.2 else 1 if part > 0.05 else 0
+            3
+            if batch.group.locks_data_set or batch.is_small
+            else 2
+            if relative_value > 0.2
+            else 1
+            if relative_value > 0.05
+            else 0
         )
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -598,7 +598,7 @@
     assert list(fewer) == ["peek"] and list(groups) == list(again) == list(farm.GROUPS)
 
     def told(one) -> tuple:
-        return one.max_dispatches, one.may_cancel, one.retry_us, one.keys.rest_us
+        return one.max_dispatches, one.may_cancel, one.max_retry_after_us, one.key_queues.quiet_us
 
     assert [told(one) for one in (first, third)] == [(4, True, 500_000, 300_000)] * 2
     assert told(second) == (2, False, 0, 90_000)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from pathturn.core.choice import REFERENCE_LOAD, ColdGuard, Engine
+from pathturn.core.choice import REFERENCE_UTILISATION, Engine, SlowStart
 
 SECOND = 1_000_000
 LEAST, COLD_US, MULTIPLE, FALL_US, CORES = 0.33, 14 * SECOND, 3.0, SECOND, 8
@@ -24,21 +24,21 @@
 def test_a_cold_engine_is_pushed_over_by_no_fleet_and_used_by_all(gateways, start, told) -> None:
     usual, sent, senders = 225_000, [], set()
     guards = [
-        ColdGuard(LEAST, COLD_US, MULTIPLE, FALL_US, gateways, (7, number), 600_000)
+        SlowStart(LEAST, COLD_US, MULTIPLE, FALL_US, gateways, (7, number), 600_000)
         for number in range(gateways)
     ]
     crowd = [(guard, Engine(0, 1, 0, 0)) for guard in guards]
     for number, (guard, engine) in enumerate(crowd):
-        guard.from_us, engine.cores, engine.started = start + SECOND, CORES, told
+        guard.active_from_us, engine.cores, engine.started_us = start + SECOND, CORES, told
         # Each took it for cold anew when a dial failed, at times that would give 60 of them the same turn.
-        engine.cold_until = start + COLD_US + (3 - number) % 14 * FALL_US
+        engine.cold_until_us = start + COLD_US + (3 - number) % 14 * FALL_US
     for now in range(start, start + COLD_US, 50_000):
         for number, (guard, engine) in enumerate(crowd):
-            while guard.left(now, engine) >= usual:
-                engine.sent.add(now, usual)
+            while guard.remaining_work_us(now, engine) >= usual:
+                engine.slow_start_work.add(now, usual)
                 sent.append(now)
                 senders.add(number)
-    line = MULTIPLE * LEAST * REFERENCE_LOAD * CORES * FALL_US
+    line = MULTIPLE * LEAST * REFERENCE_UTILISATION * CORES * FALL_US
     assert all(sum(usual for each in sent if now <= each < now + FALL_US) <= line for now in set(sent))
     assert usual * len(sent) > 0.15 * line * COLD_US / FALL_US and len(senders) >= min(gateways, 10)
 
@@ -51,17 +51,17 @@
     work a window gets, and the worst window as a part of what the operators put down to chance."""
     start, chance = 5 * SECOND, Random(draw)
     guards = [
-        ColdGuard(LEAST, COLD_US, MULTIPLE, FALL_US, gateways, (chance.random(), number), 600_000)
+        SlowStart(LEAST, COLD_US, MULTIPLE, FALL_US, gateways, (chance.random(), number), 600_000)
         for number in range(gateways)
     ]
     sent = []
     for guard in guards:
-        guard.from_us, engine = start, Engine(0, 1, 0, 0)
-        engine.cores, engine.started, engine.cold_until = CORES, start, start + COLD_US
+        guard.active_from_us, engine = start, Engine(0, 1, 0, 0)
+        engine.cores, engine.started_us, engine.cold_until_us = CORES, start, start + COLD_US
         # Within a window each gateway's moment is its own; what matters is how much falls into one window.
         for now in range(start + chance.randrange(50_000), start + COLD_US, 50_000):
-            while guard.left(now, engine) >= work:
-                engine.sent.add(now, work)
+            while guard.remaining_work_us(now, engine) >= work:
+                engine.slow_start_work.add(now, work)
                 sent.append(now)
     sent.sort()
     most = last = 0.0
@@ -70,7 +70,7 @@
         while last < len(sent) and sent[int(last)] < now + FALL_US:
             last += 1
         warm = LEAST + (1 - LEAST) * min(1.0, (now - start) / COLD_US)
-        allowed = MULTIPLE * warm * REFERENCE_LOAD * CORES * FALL_US / MEAN_US
+        allowed = MULTIPLE * warm * REFERENCE_UTILISATION * CORES * FALL_US / MEAN_US
         most = max(most, (last - first) * work / MEAN_US / (allowed + 2 * sqrt(allowed) + 2))
     return len(sent) * work / MEAN_US / (COLD_US / FALL_US), most
 
--- a/tests/test_corners.py
+++ b/tests/test_corners.py
@@ -90,8 +90,8 @@
         assert [batch for batch, _ in clock.sent] == [number]
         clock.returned()
         clock.run(2)
-    for window in clock.dispatcher.fleet:
-        assert 0 < window.narrowest <= min(window.width, window.widest) and isfinite(window.width)
+    for limit in clock.dispatcher.fleet_limits:
+        assert 0 < limit.min_limit <= min(limit.limit, limit.max_limit) and isfinite(limit.limit)
     shares = [engine.share for engine in clock.dispatcher.engines.values()]
     assert min(shares) >= 0 and (sum(shares) == pytest.approx(1) or not any(shares))
 
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -136,7 +136,9 @@
             judge.end(0, names.RETURNED)
     assert judge.over == set(range(len(judge.keys)))
     assert (
-        not judge.dispatcher.keys.lines and not judge.dispatcher.keys.doubts and not judge.dispatcher.batches
+        not judge.dispatcher.key_queues.queues
+        and not judge.dispatcher.key_queues.unresolved
+        and not judge.dispatcher.batches
     )
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,7 +7,7 @@
 
 from pathturn.adapter.codec import Codec, serve
 from pathturn.core import interface as names
-from pathturn.core.choice import Batch, Engine, Learned, fit, solve
+from pathturn.core.choice import Batch, Engine, LatencyModel, fit_latency, solve_shares
 from pathturn.structures.sliding_window import SlidingWindowSum
 
 
@@ -21,14 +21,14 @@
 
 def test_line_follows_load_but_never_gains_from_it() -> None:
     rising = [5, 10, 20, 30, 60]
-    assert fit(rising, [0] * 5) == (pytest.approx(0), pytest.approx(2))
-    assert fit([5, 10, 20, 30, 35], [0] * 5)[1] == 0
-    assert fit([0] * 5, rising) == (pytest.approx(0), pytest.approx(2))
+    assert fit_latency(rising, [0] * 5) == (pytest.approx(0), pytest.approx(2))
+    assert fit_latency([5, 10, 20, 30, 35], [0] * 5)[1] == 0
+    assert fit_latency([0] * 5, rising) == (pytest.approx(0), pytest.approx(2))
 
 
 def test_split_leaves_a_loaded_engine_but_stops_where_response_rises() -> None:
     def of(lines: list[tuple[float, float]]) -> list[float]:
-        return solve([8, 8], [2.0, 0.5], lines, [0.5, 0.5], 0.5)
+        return solve_shares([8, 8], [2.0, 0.5], lines, [0.5, 0.5], 0.5)
 
     assert of([(1, 0), (1, 0)]) == [0.5, 0.5]
     assert of([(1, 1), (1, 1)])[1] > 0.55
@@ -37,19 +37,19 @@
 
 def test_load_is_smoothed_by_its_age() -> None:
     engine = Engine(0, 1, 0, 0)
-    engine.hear_load(0, 1.0)
-    engine.hear_load(3_000_000, 0.0)
+    engine.record_load(0, 1.0)
+    engine.record_load(3_000_000, 0.0)
     assert engine.load == pytest.approx(0.3679, abs=1e-3)
 
 
 def test_grants_grow_until_few_spill_and_bias_follows_the_median() -> None:
-    learned = Learned(names.ServiceGroup(10**6, 2.0, 10**7, 1.0, 0.0, names.REPEATABLE), pages=False)
+    model = LatencyModel(names.ServiceGroup(10**6, 2.0, 10**7, 1.0, 0.0, names.REPEATABLE), pages=False)
     for number in range(300):
-        batch = Batch(number, learned, 0, 10**7, 100_000, 10.0)
-        batch.spilt = learned.grant * 10 < 40
-        learned.returned(batch, 5_000_000 if number % 10 == 0 else 250_000, 0)
-    assert 3 < learned.grant < 5
-    assert 2 < learned.bias < 3.2
+        batch = Batch(number, model, 0, 10**7, 100_000, 10.0)
+        batch.spilled = model.grant_factor * 10 < 40
+        model.record_returned(batch, 5_000_000 if number % 10 == 0 else 250_000, 0)
+    assert 3 < model.grant_factor < 5
+    assert 2 < model.work_bias < 3.2
 
 
 def test_adapter_ends_plainly_on_a_malformed_line(capsys) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -132,7 +132,7 @@
     rig.call(1, "pay")
     rig.returned(1)
     rig.idle()
-    assert bool(rig.gateway.facade.dispatcher.engines[0].cold_until) is cold
+    assert bool(rig.gateway.facade.dispatcher.engines[0].cold_until_us) is cold
 
 
 def test_an_answer_said_to_be_huge_takes_no_memory() -> None:
@@ -602,7 +602,11 @@
     dispatcher, facade, pools = rig.gateway.facade.dispatcher, rig.gateway.facade, rig.gateway.pools
     assert len(dispatcher.engines) == len(facade.roster.place) == len(facade.roster.index_of) == 1
     assert [place[0] for place in pools.idle] == list(dispatcher.engines) == [5]
-    assert not dispatcher.keys.lines and not facade.batches.tickets and len(rig.engines["e0"].posts()) == 5
+    assert (
+        not dispatcher.key_queues.queues
+        and not facade.batches.tickets
+        and len(rig.engines["e0"].posts()) == 5
+    )
 
 
 def test_a_reloaded_process_follows_the_directory_it_is_told_of_and_keeps_what_is_open(rig, tmp_path) -> None:
