--- a/pathturn/wire/dispatch_executor.py
+++ b/pathturn/wire/dispatch_executor.py
@@ -13,10 +13,11 @@
 from pathturn.wire.exchange import Exchange
 from pathturn.wire.termination import SETTLE_US, CancelReply, TerminationProof
 
+# Interval at which a dispatch checks whether its predecessors in the order of its key are answered.
 ORDER_POLL_S = 0.01
-# After a cancel request without a reply: requests of the key wait for one, but each opens a connection.
+# Delay after a cancel request without a reply: batches of the key wait for one, but each opens a connection.
 CANCEL_RETRY_S = 0.1
-# After a cancel request that was confirmed.
+# Delay after a confirmed cancel request.
 CONFIRMED_CANCEL_RETRY_S = SETTLE_US / 1e6
 
 
@@ -53,7 +54,9 @@
     def _run_dispatch(self, dispatch: Dispatch) -> None:
         exchange = Exchange(dispatch, self.pools)
         greenlet = gevent.getcurrent()
-        if dispatch.called_back or dispatch.batch.over:  # ended since it was decided
+        if (
+            dispatch.called_back or dispatch.batch.over
+        ):  # it was cancelled, or its batch ended, before it could start
             self._report(exchange, names.UNSENT)
             return
         # Set no earlier: a greenlet that is killed before it first runs would never report an outcome.
--- a/pathturn/wire/engine_connection.py
+++ b/pathturn/wire/engine_connection.py
@@ -61,7 +61,7 @@
 
 
 def nothing_to_read(connection: socket.socket) -> bool:
-    """Return whether the socket has neither unread data nor an end of stream; does not wake its readers."""
+    """Return whether the socket has neither unread data nor EOF. A greenlet that waits for data keeps waiting."""
     timeout_s = connection.gettimeout()
     connection.settimeout(0)
     try:
@@ -114,9 +114,9 @@
             if isinstance(error, ConnectionResetError):
                 raise RequestNotSentError("ConnectionResetError") from error
             raise ConnectFailedError(error) from error
-        self._established()
+        self._set_tcp_nodelay()
 
-    def _established(self) -> None:
+    def _set_tcp_nodelay(self) -> None:
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def wait_established(self, timeout_s: float) -> bool:
@@ -124,7 +124,7 @@
         try:
             wait_write(self.socket.fileno(), timeout=timeout_s, timeout_exc=TimeoutError())
             self.socket.getpeername()  # fails if the connection was refused, reset, or never initiated
-            self._established()
+            self._set_tcp_nodelay()
         except OSError:
             return False
         return True
@@ -141,13 +141,13 @@
         response = self.read_response()
         self.had_server_error |= response[0] >= 500
         if (fingerprint := engine_protocol.result_fingerprint(*response)) is not None:
-            now = monotonic()
+            now_s = monotonic()
             if any(
-                fingerprint == earlier and now - received_s < DUPLICATE_WINDOW_S
+                fingerprint == earlier and now_s - received_s < DUPLICATE_WINDOW_S
                 for earlier, received_s in self.recent_results
             ):
                 raise SuspectedDuplicateError(fingerprint)
-            self.recent_results.append((fingerprint, now))
+            self.recent_results.append((fingerprint, now_s))
         return response
 
     def call_control(self, request: bytes, timeout_s: float) -> int:
--- a/pathturn/wire/exchange.py
+++ b/pathturn/wire/exchange.py
@@ -49,7 +49,7 @@
         self.response_timeout_s = pools.dial_s + engine_protocol.POLL_RESPONSE_US / 1e6
 
     def start(self, request: bytes) -> tuple[int, Response]:
-        """Send the start; return the number of pages of the result, 0 if there is none yet, and the
+        """Send the start; return the number of pages of the result, 0 without a result, and the
         response."""
         self.start_arrival_limit_us = (
             self.pools.clock() + engine_protocol.POLL_RESPONSE_US + engine_protocol.UNPOLLED_LIFETIME_US
@@ -107,7 +107,7 @@
         return self.response_lost and response[0] == 500
 
     def poll(self) -> tuple[int, Response]:
-        """Poll the query; return the number of pages of its result, 0 if there is none yet, and the response.
+        """Poll the query; return the number of pages of its result, 0 without a result, and the response.
 
         After a lost response an error may also mean that the engine does not know the query: the start may
         still be in transit, or the query was not polled for too long, or the engine was restarted. It does
