--- a/pathturn/wire/engine_connection.py
+++ b/pathturn/wire/engine_connection.py
@@ -61,7 +61,7 @@
 
 
 def nothing_to_read(connection: socket.socket) -> bool:
-    """Return whether the socket has neither unread data nor EOF. A greenlet that waits for data keeps waiting."""
+    """Return whether the socket has neither unread data nor EOF. Waiting readers are not woken."""
     timeout_s = connection.gettimeout()
     connection.settimeout(0)
     try:
