--- a/pathturn/change/conductor.py
+++ b/pathturn/change/conductor.py
@@ -77,7 +77,7 @@
         if not number:
             first = self._checked(through(reading(parse(document.read_bytes()))))
             number = self.ledger.first(canonical(first))
-        self.router.update_engines(self.facade.roster.seats)
+        self.router.update_engines(self.facade.roster.engine_entries)
         table = RoutingTable(number, self.ledger.document(number), self.facade.groups)
         through(self.router.compile(table))
         self.router.activate(table)
@@ -230,7 +230,7 @@
     # The watch.
     def ended(self, batch: Batch, end: End) -> None:
         """How a batch ended, told by the facade; batches that were withdrawn count too."""
-        now, told = self.clock(), batch.told
+        now, told = self.clock(), batch.attributes
         ended = _ended(batch, end, now, self.facade.groups[batch.group])
         self.lately.add(now, told, ended)
         if self.guard is None or batch.taken_us < self.began_us:
--- a/pathturn/cli/config.py
+++ b/pathturn/cli/config.py
@@ -58,5 +58,5 @@
         told = orjson.loads(path.read_bytes())
         _, rows = discovery_protocol.parse_initial_list(told["known"])
         _, groups = build(int(told["seed"], 16), told["settings"])
-    seats = tuple(EngineEntry(at, row[0], *row[2:6]) for at, row in enumerate(rows))
-    return ValidationContext(groups, seats, further_share(told["settings"]))
+    engines = tuple(EngineEntry(at, row[0], *row[2:6]) for at, row in enumerate(rows))
+    return ValidationContext(groups, engines, further_share(told["settings"]))
--- a/pathturn/memory/batches.py
+++ b/pathturn/memory/batches.py
@@ -42,7 +42,7 @@
         "out",
         "priority",
         "grant_mb",
-        "told",
+        "attributes",
         "destination",
         "taken_us",
         "response_goal_us",
@@ -70,8 +70,8 @@
         self.priority = 1
         self.grant_mb = 0.0
         self.out: dict[int, Dispatch] = {}
-        # Set only with an operator document: routing traits, route, and the callback for the batch's end.
-        self.told = self.destination = self.watch = None
+        # Set only with an operator document: routing attributes, route, and the callback for the batch's end.
+        self.attributes = self.destination = self.watch = None
         self.taken_us = self.response_goal_us = 0
 
     def end(self, end: End) -> None:
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -67,7 +67,7 @@
         self.round_started_us = 0
         self.follows_list = Event()
         self.router: Router | None = None
-        self.traits: Callable[..., BatchAttributes] | None = None
+        self.make_attributes: Callable[..., BatchAttributes] | None = None
         self.watch: Callable[[Batch, End], None] | None = None
 
     def _add_event(self, *event: Any) -> None:
@@ -106,8 +106,8 @@
         until_us = self.clock() + left_us - self._read_delay_us()
         batch = self.batches.open(source, ticket, group, nonce, key, statement, until_us)
         if self.router is not None:
-            batch.told = self.traits(group, customer, key, data_set, ticket)
-            batch.destination = self.router.destination(batch.told)
+            batch.attributes = self.make_attributes(group, customer, key, data_set, ticket)
+            batch.destination = self.router.destination(batch.attributes)
             batch.taken_us = self.clock()
             batch.response_goal_us = _response_goal_us(self.groups[group], work_us)
             batch.watch = self.watch
@@ -175,11 +175,14 @@
 
     # Called for the operator.
     def follow(
-        self, router: "Router", traits: Callable[..., "BatchAttributes"], watch: Callable[[Batch, End], None]
+        self,
+        router: "Router",
+        make_attributes: Callable[..., "BatchAttributes"],
+        watch: Callable[[Batch, End], None],
     ) -> None:
         """Route batches by the router's tables from now on, and call `watch` when a batch ends."""
-        self.router, self.traits, self.watch = router, traits, watch
-        router.update_engines(self.roster.seats)
+        self.router, self.make_attributes, self.watch = router, make_attributes, watch
+        router.update_engines(self.roster.engine_entries)
 
     def take_back(self, generation: int) -> int:
         """Route a generation's batches that have not been dispatched by the present one; return how many.
@@ -195,7 +198,7 @@
             and not batch.over
         ]
         for batch in moved:
-            batch.destination = self.router.destination(batch.told)
+            batch.destination = self.router.destination(batch.attributes)
             self._add_event("batch_rerouted", batch.index, batch.destination)
         return len(moved)
 
@@ -263,7 +266,7 @@
         """Replace the list of engines, or record that it could not be had."""
         rows = [] if form == names.LIST_UNAVAILABLE else self.roster.update(entries)
         if self.router is not None and form != names.LIST_UNAVAILABLE:
-            self.router.update_engines(self.roster.seats)
+            self.router.update_engines(self.roster.engine_entries)
         self._add_event("engine_list", form, rows)
 
     # Called by the process: start, stop and rounds.
--- a/pathturn/memory/roster.py
+++ b/pathturn/memory/roster.py
@@ -24,7 +24,7 @@
         return set(self.place.values())
 
     @property
-    def seats(self) -> list[EngineEntry]:
+    def engine_entries(self) -> list[EngineEntry]:
         """The listed engines in the form that routing uses."""
         return [
             EngineEntry(self.index_of[identity], identity, zone, machine, cell, state)
--- a/pathturn/process/operator.py
+++ b/pathturn/process/operator.py
@@ -47,7 +47,10 @@
     def validation_context(self) -> ValidationContext:
         """Return what a routing document is validated against."""
         return ValidationContext(
-            self.facade.groups, tuple(self.facade.roster.seats), self.retry_share, self.max_open_batches
+            self.facade.groups,
+            tuple(self.facade.roster.engine_entries),
+            self.retry_share,
+            self.max_open_batches,
         )
 
     def parts(self) -> list[Callable[[], None]]:
