--- a/pathturn/wire/jsonrpc.py
+++ b/pathturn/wire/jsonrpc.py
@@ -32,9 +32,10 @@
 class LineSplitter:
     """Splits a byte stream into lines, in whatever pieces it arrives.
 
-    A line that does not end must not fill the memory, and the part received so far is not searched again with
-    each piece. `read_ahead` is input that was read to see the requests and the close behind it before it is
-    processed; together with the partial line it is at most as long as a line may be.
+    The length of a line is limited, so that one without an end can't fill the memory. Its part received so
+    far is kept apart and not searched again with each piece. `read_ahead` is input that is not to be
+    processed yet: it was read to notice an abort in it, or the client's close behind it. Together with the
+    partial line it is at most as long as a line may be.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -132,7 +133,7 @@
 
 def _number(value: float) -> float:
     if type(value) not in (int, float) or not 0 <= value <= MAX_NUMBER:
-        raise ValueError("figure")
+        raise ValueError("number")
     return value
 
 
--- a/pathturn/wire/statement.py
+++ b/pathturn/wire/statement.py
@@ -38,11 +38,11 @@
     a similar keyword has precedence; one found elsewhere may be that of an alias."""
     tokens = _tokens(statement)
     fallback = 0
-    for at in range(len(tokens) - 1):
-        if tokens[at + 1] != "." or not (number := NUMBER_SUFFIX.search(tokens[at])):
+    for index in range(len(tokens) - 1):
+        if tokens[index + 1] != "." or not (number := NUMBER_SUFFIX.search(tokens[index])):
             continue
-        before = tokens[at - 1].lower() if at else ""
-        if tokens[at].lower() in SCHEMAS_WITHOUT_DATA_SET or before == ".":
+        before = tokens[index - 1].lower() if index else ""
+        if tokens[index].lower() in SCHEMAS_WITHOUT_DATA_SET or before == ".":
             continue
         if before in TABLE_KEYWORDS:
             return int(number[1])
