--- a/pathturn/core/choice.py
+++ b/pathturn/core/choice.py
@@ -14,71 +14,101 @@
 from pathturn.core import interface as names
 from pathturn.structures.sliding_window import SlidingWindowSum
 
-CONTROL_PERIOD_US = 1_000_000
-LOAD_SMOOTHING_US = 3_000_000
-POLL_INTERVAL_US = 25_000
-IDLE_POLL_FACTOR = 4  # longer poll interval while dispatches are in flight but no batch is ready
+CONTROL_PERIOD_US = 1_000_000  # between updates of engine shares and between decreases of a limit
+LOAD_SMOOTHING_US = 3_000_000  # time constant of the moving average of an engine's load
+POLL_INTERVAL_US = 25_000  # between rounds while batches are ready
+IN_FLIGHT_POLL_FACTOR = 4  # longer interval while dispatches are in flight but no batch is ready
 
+# Latency model of a service group.
+TARGET_SPILL_SHARE = 0.15  # of the dispatches
+TARGET_SPILL_SHARE_PAGING = 0.02
+INITIAL_GRANT_FACTOR = 2.0
+MIN_GRANT_FACTOR = 0.3
+MAX_GRANT_FACTOR = 8.0
+INITIAL_SLOWDOWN = 1.5
+MAX_SLOWDOWN = 10.0
+SLOWDOWN_RATE = 0.05
+UNREPORTED_COST_SLOWDOWN_FACTOR = 0.75  # where the slowdown is based on an estimate of the work
+MIN_LEARNING_RATE = 0.03
+BIAS_STEP = 0.5  # of the learning rate, towards the median
+MIN_BIAS_SAMPLE = 0.2
+MAX_BIAS_SAMPLE = 4.0
+MAX_LATENCY_SAMPLES = 100  # weight of the past in the mean latency
+MAX_WORK_SAMPLES = 200  # weight of the past in the typical work
+MIN_WORK_US = 1_000.0
+SMALL_BATCH_RATIO = 3.0  # a small batch has less work than this multiple of the smallest typical work
+MEAN_WORK_RATE = 0.02
+
+# Shares of the engines.
 # Fields of an engine's report that state its load, best first: cores before disks before memory.
 LOAD_FIELDS = ("held", "utilisation", "disks", "memory")
 SOLVER_STEP = 0.1  # of the way from equal load per core to the split that the reported loads suggest
+LOAD_FLOOR = 0.05  # added to each load, so that an idle engine isn't suggested for everything
+LOAD_FLOOR_MEAN_SHARE = 0.25  # of the mean load, added likewise
 LATENCY_WINDOW_US = 30 * CONTROL_PERIOD_US
 LATENCY_BUCKETS = 6
-POOLED_SAMPLES = 5.0  # an engine with fewer samples is fitted with pooled ones as well
+POOLED_SAMPLES = 5.0  # an engine with fewer samples is fitted mostly with pooled ones
+PROBES_PER_BATCH = 0.25
+MAX_CREDIT = 5.0
+MIN_CREDIT = -10.0
+MAX_CREDIT_CHARGE = 10.0
+CACHED_DATA_SETS = 8  # per engine
+CACHED_DATA_SET_CREDIT = 0.5
+TRIED_ENGINE_PENALTY = 100
+MAX_SKIPPED_BATCHES = 24  # per pool and round; bounds the work when the first batches fit no engine
+MIN_PRIORITY_2_VALUE = 0.2  # utility per work, relative to the best service group
+MIN_PRIORITY_1_VALUE = 0.05
 
+# Concurrency limits, as multiples of one engine's threads; those of the fleet also as multiples of this
+# gateway's fair share.
 THREADS_PER_CORE = 1.3  # above one, as threads wait for disks; engines thrash soon beyond it
 OVERLOAD_SLOWDOWN = 1.9  # latency over work; above it cores, disks or memory of an engine are overcommitted
-# Concurrency limits, as multiples of one engine's threads.
 MAX_CONCURRENCY_LIMIT = 1.6
 MIN_CONCURRENCY_LIMIT = 0.15
-INITIAL_CONCURRENCY_LIMIT = 1.2  # divided by the number of gateways
+INITIAL_CONCURRENCY_LIMIT = 1.2
+INITIAL_SMALL_BATCH_LIMIT = 4.0
+MIN_SMALL_BATCH_LIMIT = 0.3
+SMALL_BATCH_SLOWDOWN_WEIGHT = 0.5
+REPORTED_COST_SLOWDOWN_WEIGHT = 1.65
 LIMIT_DECREASE_FACTOR = 0.85
-LIMIT_INCREASE = 0.1
+LIMIT_INCREASE = 0.1  # per sample, without any slowdown; less towards overload
 SLOWDOWN_SMOOTHING = 0.15
-SMALL_BATCH_RATIO = 3.0  # a small batch has less work than this multiple of the smallest typical work
-MAX_DEBT_US = 2_000_000
+MAX_DEBT_US = 2_000_000  # per unit of the limit
+MIN_WAITING_REPORTED = 0.5  # queued dispatches in a report that lower the limit
 
+# Outlier ejection.
 OUTCOME_WINDOW_US = 3 * CONTROL_PERIOD_US
 OUTCOME_BUCKETS = 6
 EJECTION_MIN_ERRORS = 2
 EJECTION_ERROR_SHARE = 0.2
 EJECTION_JITTER = 0.3
-NOTICE_TIMEOUT_FACTOR = 1.6
+NOTICE_TIMEOUT_FACTOR = 1.6  # of the interval between notices
 NOTICE_TIMEOUT_SLACK_US = 300_000
-# Silence that ejects an engine which sends no notices.
-SILENCE_RUNTIME_FACTOR = 4
+SILENCE_RUNTIME_FACTOR = 4  # of the expected run time, where engines send no notices
 SILENCE_SLACK_US = 2 * CONTROL_PERIOD_US
 
+# Restarts and retries.
 BAD_PLAN_RATIO = 3.5  # multiple of the expected run time: estimates scatter by less, bad plans by more
-BAD_PLAN_MIN_SAVING = 1.5  # run times that a restart must save at least
-MIN_PROGRESS = 0.02
-PROBES_PER_BATCH = 0.25
+BAD_PLAN_MIN_SAVING = 1.5  # expected run times that a restart must save at least
+MIN_PROGRESS = 0.02  # share of a dispatch; lower reported values count as this
 DEDUP_WINDOW_SHARE = 0.95  # a repeat is sent only this far into the window in which engines drop it
+RETRY_BUDGET_BUCKETS = 20
+MIN_RUNTIME_SHARE = 0.5  # estimates scatter: the actual run may take only this share of the estimate
+MIN_RETRY_AFTER_SHARE = 0.5  # of the longest retry-after
+RETRY_AFTER_JITTER = 0.5
 
-TARGET_SPILL_SHARE = 0.15
-TARGET_SPILL_SHARE_PAGING = 0.02
-
-# The rules state an engine's capacity as the rate at which this share of its cores is busy.
+# Slow start. The rules state an engine's capacity as the rate at which this share of its cores is busy.
 REFERENCE_UTILISATION = 0.85
 SLOW_START_MARGIN = 0.6
-SLOW_START_DRAW_SHARE = 0.5
+SLOW_START_DRAW_SHARE = 0.5  # of the current capacity, used by all gateways together
 SLOW_START_BUCKETS = 10
-RETRY_BUDGET_BUCKETS = 20
 
-# Clients resend pushed-back batches of one key this far apart, so a longer queue would outlast the time that
-# they wait. Resending may use a quarter of the group's time limit, as that much is subtracted from the time
-# that each client states.
+# Key queues. Clients resend pushed-back batches of one key one interval apart: with a longer queue the last
+# of them would come too late. Resending may use a quarter of the group's time limit, as that much is
+# subtracted from the time that each client states.
 MAX_KEY_QUEUE = 32
 KEY_RESEND_INTERVAL_US = 60_000
-KEY_RESEND_TIME_LIMIT_PART = 4
-
-MAX_SKIPPED_BATCHES = 24  # per pool and round; bounds the work when the first batches fit no engine
-CREDIT_LIMIT = 5.0
-MIN_CREDIT = -10.0
-MAX_CREDIT_CHARGE = 10.0
-CACHED_DATA_SETS = 8  # per engine
-CACHED_DATA_SET_CREDIT = 0.5
-TRIED_ENGINE_PENALTY = 100
+KEY_RESEND_TIME_LIMIT_DIVISOR = 4
 
 Dispatch = namedtuple("Dispatch", "batch sent_us load")
 
@@ -86,7 +116,7 @@
 def max_key_queue(group: names.ServiceGroup) -> int:
     """Return how many batches of one key may be held at once."""
     return max(
-        1, min(MAX_KEY_QUEUE, group.time_limit_us // (KEY_RESEND_TIME_LIMIT_PART * KEY_RESEND_INTERVAL_US))
+        1, min(MAX_KEY_QUEUE, group.time_limit_us // (KEY_RESEND_TIME_LIMIT_DIVISOR * KEY_RESEND_INTERVAL_US))
     )
 
 
@@ -97,34 +127,37 @@
         self.group = group
         self.typical_work_us = float(group.response_goal_us) * group.threads / 2
         self.work_bias = 1.0
-        self.grant_factor = 2.0
+        self.grant_factor = INITIAL_GRANT_FACTOR
         self.target_spill_share = TARGET_SPILL_SHARE_PAGING if pages else TARGET_SPILL_SHARE
-        self.slowdown = 1.5
+        self.slowdown = INITIAL_SLOWDOWN
         self.mean_latency_us = 0.0
         self.samples = 0
 
     def record_returned(self, batch: "Batch", latency: int, work_us: int) -> float:
         """Add a sample and return its slowdown: its latency over the run time of the batch alone."""
         self.samples += 1
-        rate = max(0.03, 1 / (self.samples + 4))
+        rate = max(MIN_LEARNING_RATE, 1 / (self.samples + 4))
         threads = self.group.threads
-        self.mean_latency_us += (latency - self.mean_latency_us) / min(self.samples, 100)
+        self.mean_latency_us += (latency - self.mean_latency_us) / min(self.samples, MAX_LATENCY_SAMPLES)
         if batch.work_hint_us and work_us:
-            self.work_bias += rate * (min(4.0, max(0.2, work_us / batch.work_hint_us)) - self.work_bias)
+            self.work_bias += rate * (
+                min(MAX_BIAS_SAMPLE, max(MIN_BIAS_SAMPLE, work_us / batch.work_hint_us)) - self.work_bias
+            )
         elif batch.work_hint_us:
             # Without a reported cost the median latency stands for the work: a mean would follow bad plans
             # and overloaded engines.
             self.work_bias *= exp(
-                rate * (-0.5 if latency * threads / batch.work_hint_us < self.work_bias else 0.5)
+                rate * (-BIAS_STEP if latency * threads / batch.work_hint_us < self.work_bias else BIAS_STEP)
             )
         # Converges where the target share of dispatches spills: a small one where engines page, as there a
         # larger grant costs nothing.
         self.grant_factor = min(
-            8.0, max(0.3, self.grant_factor * (1 + rate * (batch.spilled - self.target_spill_share)))
+            MAX_GRANT_FACTOR,
+            max(MIN_GRANT_FACTOR, self.grant_factor * (1 + rate * (batch.spilled - self.target_spill_share))),
         )
-        slowdown = min(10.0, latency * threads / max(1.0, work_us or batch.work_us))
-        self.slowdown += 0.05 * (max(1.0, slowdown) - self.slowdown)
-        return slowdown if work_us else 0.75 * slowdown
+        slowdown = min(MAX_SLOWDOWN, latency * threads / max(1.0, work_us or batch.work_us))
+        self.slowdown += SLOWDOWN_RATE * (max(1.0, slowdown) - self.slowdown)
+        return slowdown if work_us else UNREPORTED_COST_SLOWDOWN_FACTOR * slowdown
 
 
 class Batch:
@@ -146,7 +179,7 @@
         self.work_hint_us = work_hint_us
         self.memory_hint_mb = memory_hint_mb
         self.expires_us = self.deadline_us - 2 * POLL_INTERVAL_US
-        self.work_us = max(1_000.0, work_hint_us * model.work_bias or model.typical_work_us)
+        self.work_us = max(MIN_WORK_US, work_hint_us * model.work_bias or model.typical_work_us)
         self.run_time_us = self.work_us / self.group.threads  # on an idle engine
         # Counted from this attempt: a short time left may mean a late attempt of the client, but also a
         # client that waits for less time.
@@ -227,6 +260,7 @@
             self.limit = max(self.min_limit, LIMIT_DECREASE_FACTOR * self.limit)
 
     def record_slowdown(self, now: int, slowdown: float) -> None:
+        """Add a sample, and adjust the limit to the mean slowdown."""
         self.slowdown += SLOWDOWN_SMOOTHING * (self.slowdown_weight * slowdown - self.slowdown)
         if self.slowdown > OVERLOAD_SLOWDOWN:
             self.decrease(now)
@@ -290,6 +324,7 @@
         self.retries = SlidingWindowSum(window_us, RETRY_BUDGET_BUCKETS)
 
     def allows_retry(self, now: int) -> bool:
+        """Return whether one more retry is within the budget."""
         return (
             self.retries.sums(now)[0] + 1
             <= self.fixed_retries + self.retry_share * self.batches.sums(now, within=True)[0]
@@ -403,7 +438,7 @@
     """Compute each engine's share of the dispatches: move from an even split per core towards the one that
     the reported loads suggest, until the predicted mean response time rises."""
     even = [core / sum(cores) for core in cores]
-    floor = 0.05 + 0.25 * sum(loads) / len(loads)
+    floor = LOAD_FLOOR + LOAD_FLOOR_MEAN_SHARE * sum(loads) / len(loads)
     room = [core / (floor + load) for core, load in zip(cores, loads)]
     suggested = [each / sum(room) for each in room]
 
@@ -555,6 +590,7 @@
     def timer_fired(self, tag: int) -> None: ...
 
     def shutdown(self, left_us: int) -> None:
+        """End all batches within `left_us`."""
         # Batches that were never dispatched are pushed back at once: another gateway serves them sooner.
         self.shutting_down = True
         for batch in list(self.batches.values()):
@@ -565,7 +601,11 @@
     def _schedule_next_round(self) -> None:
         """Request the next round only where one is needed: most gateways have little traffic."""
         poll = self.now + POLL_INTERVAL_US * (
-            1 if any(self.ready_queues.values()) else IDLE_POLL_FACTOR if any(self.fleet_threads) else inf
+            1
+            if any(self.ready_queues.values())
+            else IN_FLIGHT_POLL_FACTOR
+            if any(self.fleet_threads)
+            else inf
         )
         due = min(self.timers[0][0] if self.timers else inf, self.subscribe_at_us, poll)
         if due < inf and not self.now < self.wake_at_us <= due:
@@ -592,7 +632,7 @@
             engine.started_us = started_us
             if started_us:
                 engine.cold_until_us = max(engine.cold_until_us, started_us + self.slow_start.warm_up_us)
-        # Engine ids are never reused, so nothing may be kept of an engine that is gone.
+        # New engine ids keep coming, so nothing may be kept of an engine that is gone.
         self.engines = {
             known_index: known
             for known_index, known in self.engines.items()
@@ -608,20 +648,29 @@
             # A gateway with little traffic has too few samples to detect overload: where engines report
             # costs, the higher weight keeps it to its fair share.
             self.fleet_limits = (
-                ConcurrencyLimit(1.2 * fair_limit, 0.0, inf, self.now, 1.65 if self.reports_costs else 1.0),
-                ConcurrencyLimit(4.0 * fair_limit, 0.0, inf, self.now, 0.5),
+                ConcurrencyLimit(
+                    INITIAL_CONCURRENCY_LIMIT * fair_limit,
+                    0.0,
+                    inf,
+                    self.now,
+                    REPORTED_COST_SLOWDOWN_WEIGHT if self.reports_costs else 1.0,
+                ),
+                ConcurrencyLimit(
+                    INITIAL_SMALL_BATCH_LIMIT * fair_limit, 0.0, inf, self.now, SMALL_BATCH_SLOWDOWN_WEIGHT
+                ),
             )
-        for limit, min_limit in zip(self.fleet_limits, (fair_limit, 0.3 * fair_limit)):
+        for limit, min_limit in zip(self.fleet_limits, (fair_limit, MIN_SMALL_BATCH_LIMIT * fair_limit)):
             limit.min_limit = min_limit
             limit.max_limit = MAX_CONCURRENCY_LIMIT * len(ready)
 
     def batch_received(
         self, index, group, customer, key, left_us, work_us, memory_mb, data_set, repeat, destination=None
     ) -> None:
+        """Queue a new batch, or push it back if it is over a limit of its destination."""
         model = self.models[group]
         if work_us:
             model.typical_work_us += (work_us * model.work_bias - model.typical_work_us) / min(
-                model.samples + 5, 200
+                model.samples + 5, MAX_WORK_SAMPLES
             )
         batch = self.batches[index] = Batch(index, model, self.now, left_us, work_us, memory_mb)
         batch.data_set = data_set
@@ -636,7 +685,7 @@
             queue.append(batch)
             batch.expires_us = batch.expires_us if len(queue) <= max_key_queue(batch.group) else self.now
         for due in (
-            min(batch.expires_us, int(batch.goal_deadline_us - 0.5 * batch.run_time_us) + 1),
+            min(batch.expires_us, int(batch.goal_deadline_us - MIN_RUNTIME_SHARE * batch.run_time_us) + 1),
             batch.expires_us,
         ):
             heapq.heappush(self.timers, (due, next(self.counter), batch))
@@ -646,7 +695,7 @@
             self._give_up(batch, retry_after_us)
 
     def batch_rerouted(self, index, destination) -> None:
-        """Apply a changed destination to a batch that was never dispatched; others keep theirs."""
+        """Give a batch that was never dispatched another destination, as after the undo of a change."""
         if (batch := self.batches.get(index)) is not None and not batch.dispatch_count and not batch.ended:
             self._assign_destination(batch, destination, False)
 
@@ -662,6 +711,7 @@
     def dispatch_finished(
         self, index, number, engine_index, outcome, latency, complete, work_us, memory_mb, report
     ) -> None:
+        """Record the outcome of a dispatch, then remove the batch or decide about a retry."""
         batch = self.batches[index]
         engine = self.engines[engine_index]
         dispatch = batch.in_flight.pop(number)
@@ -718,15 +768,18 @@
             self._give_up(self.batches[index])
 
     def execution_unresolved(self, key) -> None:
+        """Block a key: one of its dispatches may still be running."""
         self.key_queues.unresolved[key] += 1
 
     def execution_ended(self, key) -> None:
+        """Unblock a key after its quiet period."""
         self.key_queues.unresolved -= Counter((key,))  # also removes keys whose count is zero
         self.key_queues.quiet_until_us[key] = self.now + self.key_queues.quiet_us
         if key in self.key_queues.queues:
             self._review(self.key_queues.queues[key][0])
 
     def batch_withdrawn(self, index) -> None:
+        """Cancel what is in flight of a batch whose client no longer waits."""
         if index in self.batches:
             self._close(self.batches[index])
 
@@ -734,7 +787,7 @@
         fields = dict(zip(self.report_fields, (engine and report) or ()))
         if (load := fields.get(self.load_field)) is not None:
             engine.record_load(self.now, load / (engine.cores if self.load_field == "held" else 1))
-        if fields.get("waiting", 0) > 0.5:
+        if fields.get("waiting", 0) > MIN_WAITING_REPORTED:
             engine.concurrency_limit.decrease(self.now)
 
     def _record_returned(self, engine: Engine, dispatch: Dispatch, latency: int, work_us: int) -> None:
@@ -854,7 +907,7 @@
 
     def _cannot_succeed(self, batch: Batch) -> bool:
         """Return whether waiting is of no use: no utility left to gain, no time, or no dispatch allowed."""
-        earliest_end = self.now + 0.5 * batch.run_time_us  # the actual run may take half of the estimate
+        earliest_end = self.now + MIN_RUNTIME_SHARE * batch.run_time_us
         latest_end = min(batch.expires_us, inf if batch.group.late_utility else batch.goal_deadline_us)
         exhausted = batch.dispatch_count >= self.max_dispatches or not batch.may_dispatch(self.now)
         return earliest_end > latest_end or exhausted or self.shutting_down
@@ -870,7 +923,10 @@
     def _give_up(self, batch: Batch, retry_after_us: int = 0) -> None:
         """Push a batch back, or end it with an error if a retry could have a second effect."""
         if batch.may_push_back():
-            default_us = int(self.max_retry_after_us * (0.5 + 0.5 * self.pseudo_random(batch.index)))
+            default_us = int(
+                self.max_retry_after_us
+                * (MIN_RETRY_AFTER_SHARE + RETRY_AFTER_JITTER * self.pseudo_random(batch.index))
+            )
             self.writer.push_back(batch.index, min(retry_after_us, self.max_retry_after_us) or default_us)
         else:
             self.writer.error(batch.index)
@@ -998,10 +1054,10 @@
 
     def _charge_credit(self, selected: Engine, work: float) -> None:
         """Smooth weighted round robin in units of the mean work: follows the shares with little variance."""
-        self.mean_work_us += 0.02 * (work - self.mean_work_us)
+        self.mean_work_us += MEAN_WORK_RATE * (work - self.mean_work_us)
         charge = min(MAX_CREDIT_CHARGE, work / self.mean_work_us)
         for engine in self._ready_engines():
-            engine.credit = min(CREDIT_LIMIT, engine.credit + engine.share * charge)
+            engine.credit = min(MAX_CREDIT, engine.credit + engine.share * charge)
         selected.credit = max(MIN_CREDIT, selected.credit - charge)
 
     def _priority(self, batch: Batch) -> int:
@@ -1016,8 +1072,8 @@
             3
             if batch.group.locks_data_set or batch.is_small
             else 2
-            if relative_value > 0.2
+            if relative_value > MIN_PRIORITY_2_VALUE
             else 1
-            if relative_value > 0.05
+            if relative_value > MIN_PRIORITY_1_VALUE
             else 0
         )
