--- a/pathturn/routing/checks.py
+++ b/pathturn/routing/checks.py
@@ -86,7 +86,7 @@
             yield from _check_fallback(document, name, pool, path)
         engines = [engine for engine in context.engines if engine.state != GONE]
         if engines and not any(EnginePool(name, pool).matches(engine) for engine in engines):
-            yield Fault(path, "no listed engine matches it", _unmatched_selector(pool, engines))
+            yield Fault(path, "no listed engine matches this pool", _unmatched_selector(pool, engines))
 
 
 def _check_fallback(document: Document, name: str, pool: Pool, path: str) -> FaultStream:
@@ -240,12 +240,12 @@
     for box in match_boxes(document):
         if box.position % ITEMS_PER_SLICE == ITEMS_PER_SLICE - 1:
             yield None
-        if (by := index.shadowed_by(box)) is not None:
+        if (earlier := index.shadowed_by(box)) is not None:
             yield Fault(
                 join("routes", box.position),
-                f"{document.routes[box.position].name!r} can never match: {document.routes[by].name!r} "
-                f"(routes[{by}]), alone or with earlier routes, matches all of its batches",
-                f"move it before routes[{by}], or remove it",
+                f"{document.routes[box.position].name!r} can never match: {document.routes[earlier].name!r} "
+                f"(routes[{earlier}]), alone or with earlier routes, matches all of its batches",
+                f"move it before routes[{earlier}], or remove it",
             )
     yield from index.free()
 
