--- a/pathturn/memory/batches.py
+++ b/pathturn/memory/batches.py
@@ -70,7 +70,7 @@
         self.priority = 1
         self.grant_mb = 0.0
         self.out: dict[int, Dispatch] = {}
-        # Set only with an operator document: routing attributes, route, and the callback for the batch's end.
+        # Set only with a routing document: what routes match, the destination, and the callback for the end.
         self.attributes = self.destination = self.watch = None
         self.taken_us = self.response_goal_us = 0
 
@@ -86,8 +86,8 @@
 class Dispatch:
     """One dispatch of a batch to an engine.
 
-    The greenlet that carries it sets `stop` and `rerank` while it can be cancelled or given another
-    priority.
+    The greenlet that runs it sets `stop` and `rerank` for as long as it can be cancelled or
+    given another priority.
     """
 
     __slots__ = ("batch", "number", "place", "until_us", "sent_us", "called_back", "stop", "rerank")
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -1,8 +1,9 @@
 """Blocking interface to the decision module.
 
-The greenlet of a batch calls `pick` to learn where to send it or how to end it, the greenlet of a dispatch
-passes its outcome to `report`, and a single greenlet runs `tick` for all events received since the last one.
-The module's events, actions and indices are translated here; no decision is taken here.
+The greenlet of a batch calls `pick` to learn where to send it or how to end it, the greenlet
+of a dispatch passes its outcome to `report`, and a single greenlet runs `tick` for all
+events received since the last round. The module's events, actions and indices are translated here; no
+decision is taken here.
 """
 
 from collections import Counter
@@ -56,9 +57,8 @@
         self.overdue = OverdueBatches()
         self.events: list[tuple] = []
         self.first_source_of_key: dict[str, object] = {}
-        self.unwritten_answers: Counter[str] = (
-            Counter()
-        )  # by key: ended batches whose answer is being written
+        # By key: ended batches whose answer has not been written yet.
+        self.unwritten_answers: Counter[str] = Counter()
         self.last_heartbeat_us = clock()
         self.last_stall_us = 0
         self.last_stall_length_us = 0
--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -210,7 +210,8 @@
         """Wait until the condition is false, checking it once an interval, or until the timeout."""
         with gevent.Timeout(timeout_s, False):
             while True:
-                gevent.sleep(self.step_s)  # first, since connections just accepted have not been read yet
+                # First, since connections just accepted have not been read yet.
+                gevent.sleep(self.step_s)
                 if not condition():
                     return
         # After a stall the timeout fires before the sockets are read, so the condition may be outdated.
