--- a/benchmarks/change_wire.py
+++ b/benchmarks/change_wire.py
@@ -74,7 +74,7 @@
             farm.configuration("{}:{}".format(*(address := spare_address()))),
             installed(Path(folder), DOCUMENT),
         )
-        gateway.log.quiet = True
+        gateway.log.muted = True
         gateway.server.start()
         gevent.spawn(gateway.run)
         conductor, crowd, beat = gateway.operator.conductor, Crowd(address), Beat()
--- a/benchmarks/fleet_wire.py
+++ b/benchmarks/fleet_wire.py
@@ -25,7 +25,7 @@
         farm.strait(name)
     address = spare_address()
     gateway = GatewayProcess(farm.configuration("{}:{}".format(*address)))
-    gateway.log.quiet = True
+    gateway.log.muted = True
     gateway.server.start()
     gevent.spawn(gateway.run)
     crowd = Crowd(address)
--- a/pathturn/adapter/codec.py
+++ b/pathturn/adapter/codec.py
@@ -7,7 +7,7 @@
 import orjson
 
 from pathturn.core import interface as names
-from pathturn.process.settings import build
+from pathturn.process.settings import build_dispatcher
 
 OUTCOMES = {
     "ok": names.RETURNED,
@@ -31,7 +31,7 @@
     def __init__(self, seed: int, config: dict[str, Any]) -> None:
         self.steps: list[list] = []
         self.events: list[tuple] = []
-        self.dispatcher, groups = build(seed, config)
+        self.dispatcher, groups = build_dispatcher(seed, config)
         self.group_index = {name: index for index, name in enumerate(groups)}
         self.tells_cost = bool(config.get("domain", {}).get("costInAnswers"))
         self.connect_timeout_us = config.get("limits", {}).get("dialTimeoutUs") or inf
--- a/pathturn/cli/common.py
+++ b/pathturn/cli/common.py
@@ -23,12 +23,12 @@
 @contextmanager
 def plain_faults() -> Iterator[None]:
     """One line for whoever starts it, in place of a trace, for what is wrong with the configuration."""
-    from pathturn.process.start import unusable
+    from pathturn.process.start import config_error_message
 
     try:
         yield
     except Exception as fault:  # noqa: BLE001 - whatever a file holds, whoever starts it gets one line
-        typer.echo(unusable(fault), err=True)
+        typer.echo(config_error_message(fault), err=True)
         raise typer.Exit(USAGE) from None
 
 
--- a/pathturn/cli/config.py
+++ b/pathturn/cli/config.py
@@ -50,13 +50,13 @@
     import orjson
 
     from pathturn.core.interface import EngineEntry
-    from pathturn.process.settings import build, further_share
+    from pathturn.process.settings import build_dispatcher, retry_share
     from pathturn.routing.checks import ValidationContext
     from pathturn.wire import discovery_protocol
 
     with common.plain_faults():
         told = orjson.loads(path.read_bytes())
         _, rows = discovery_protocol.parse_initial_list(told["known"])
-        _, groups = build(int(told["seed"], 16), told["settings"])
+        _, groups = build_dispatcher(int(told["seed"], 16), told["settings"])
     engines = tuple(EngineEntry(at, row[0], *row[2:6]) for at, row in enumerate(rows))
-    return ValidationContext(groups, engines, further_share(told["settings"]))
+    return ValidationContext(groups, engines, retry_share(told["settings"]))
--- a/pathturn/cli/serve.py
+++ b/pathturn/cli/serve.py
@@ -6,8 +6,8 @@
 import typer
 
 from pathturn.cli.common import plain_faults
-from pathturn.process.limits import shares
-from pathturn.process.settings import build
+from pathturn.process.limits import connection_limits
+from pathturn.process.settings import build_dispatcher
 from pathturn.wire import discovery_protocol
 from pathturn.wire.statement import data_set
 
@@ -40,13 +40,13 @@
 
 def check(config: ConfigFile = None) -> None:
     """Read a configuration and print what a gateway would start with."""
-    from pathturn.process.start import read
+    from pathturn.process.start import read_config
 
     with plain_faults():
-        told = read(config)
+        told = read_config(config)
         serial, rows = discovery_protocol.parse_initial_list(told["known"])
-        _, groups = build(int(told["seed"], 16), told["settings"])
-        clients, engines = shares(told["limits"]["sockets"])
+        _, groups = build_dispatcher(int(told["seed"], 16), told["settings"])
+        clients, engines = connection_limits(told["limits"]["sockets"])
     typer.echo(f"{told['name']} on {told['listen']}, list of event {serial}, from {told['names']}")
     typer.echo(f"connections: {clients} from clients, {engines} to engines")
     typer.echo("service groups: " + ", ".join(groups))
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -28,7 +28,7 @@
 OVERDUE_US = 20_000
 # A longer gap between heartbeats is a stall. By the protocol requests of one key are written at least this
 # far apart, so a shorter stall cannot change their order.
-STANDSTILL_US = 60_000
+STALL_THRESHOLD_US = 60_000
 
 
 def _response_goal_us(group: names.ServiceGroup, work_us: int) -> int:
@@ -278,7 +278,7 @@
         """Note that the event loop runs; called every few milliseconds. A longer gap is a stall of the whole
         process."""
         now = self.clock()
-        if now - self.last_heartbeat_us > STANDSTILL_US:
+        if now - self.last_heartbeat_us > STALL_THRESHOLD_US:
             self.last_stall_us = now
             self.last_stall_length_us = now - self.last_heartbeat_us
             self.log_line(f"event loop stalled for {(now - self.last_heartbeat_us) // 1000} ms")
@@ -290,9 +290,9 @@
         gap = now - self.last_heartbeat_us
         return (
             gap
-            if gap > STANDSTILL_US
+            if gap > STALL_THRESHOLD_US
             else self.last_stall_length_us
-            if now - self.last_stall_us < STANDSTILL_US
+            if now - self.last_stall_us < STALL_THRESHOLD_US
             else 0
         )
 
--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -12,13 +12,13 @@
 
 from pathturn.core import interface as names
 from pathturn.memory.buffers import Buffers
-from pathturn.memory.facade import STANDSTILL_US, Facade
+from pathturn.memory.facade import STALL_THRESHOLD_US, Facade
 from pathturn.memory.pools import Pools
 from pathturn.memory.sessions import Sessions
 from pathturn.process.clock import unix_clock
-from pathturn.process.limits import PARTING, longest_line, shares
+from pathturn.process.limits import MAX_HALF_CLOSED, connection_limits, max_line_bytes
 from pathturn.process.log import Log
-from pathturn.process.settings import build
+from pathturn.process.settings import build_dispatcher
 from pathturn.wire import discovery_protocol
 from pathturn.wire.clients import ClientConnection
 from pathturn.wire.discovery_client import DiscoveryClient
@@ -33,15 +33,15 @@
 PRUNE_INTERVAL_S = 0.25
 # Half the threshold, so that no longer stall is missed. Shorter stalls are normal: with a fraction of a core
 # the process gets no CPU for tens of milliseconds at a time.
-HEARTBEAT_INTERVAL_S = STANDSTILL_US / 2 / 1e6
+HEARTBEAT_INTERVAL_S = STALL_THRESHOLD_US / 2 / 1e6
 # The protocol's figures: batches still arrive for this long after SIGTERM. SIGKILL follows once the longest
 # time limit of a service group has passed as well; limits longer than the maximum count as the maximum.
-STILL_COMING_S = 0.7
-LONGEST_S = 3.0
+SHUTDOWN_GRACE_S = 0.7
+MAX_TIME_LIMIT_S = 3.0
 # Shares of the time left by which the batches are ended, their answers written, and the connections closed
 # by both sides.
 BATCHES_ENDED_SHARE = 13 / 16
-WRITTEN = 14 / 16
+ANSWERS_WRITTEN_SHARE = 14 / 16
 CONNECTIONS_CLOSED_SHARE = 15 / 16
 # Intervals allowed after such a wait has timed out: enough to read what has arrived, to run a round, and to
 # write the answers.
@@ -59,8 +59,8 @@
         self.clock = unix_clock()
         self.log = Log(config["name"], installation.log if installation else "plain")
         limits = settings.get("limits") or {}
-        dispatcher, groups = build(int(config["seed"], 16), settings)
-        self.step_s = (settings.get("stepUs") or DEFAULT_ROUND_INTERVAL_US) / 1e6
+        dispatcher, groups = build_dispatcher(int(config["seed"], 16), settings)
+        self.round_interval_s = (settings.get("stepUs") or DEFAULT_ROUND_INTERVAL_US) / 1e6
         self.facade = Facade(
             dispatcher,
             groups,
@@ -68,10 +68,10 @@
             bool((settings.get("domain") or {}).get("costInAnswers")),
             self.log,
         )
-        client_limit, engine_limit = shares(config["limits"]["sockets"])
-        self.longest_line = longest_line(config["limits"]["memory_mb"], client_limit)
+        client_limit, engine_limit = connection_limits(config["limits"]["sockets"])
+        self.max_line_bytes = max_line_bytes(config["limits"]["memory_mb"], client_limit)
         self.buffers = Buffers()
-        self.sessions = Sessions(client_limit, PARTING, self.clock)
+        self.sessions = Sessions(client_limit, MAX_HALF_CLOSED, self.clock)
         self.pools = Pools(
             engine_limit,
             limits.get("idleCloseUs") or DEFAULT_ENGINE_IDLE_TIMEOUT_US,
@@ -84,11 +84,11 @@
         self.dispatch_executor = DispatchExecutor(
             self.facade, self.pools, self.clock, report.get("fields") or [], bool(limits.get("secondCopies"))
         )
-        self.asked_to_stop = Event()
-        self.parts = Group()
+        self.stop_requested = Event()
+        self.greenlets = Group()
         serial, rows = discovery_protocol.parse_initial_list(config["known"])
         self.facade.listing(names.LIST_CACHED, rows)
-        self.names = discovery_protocol.parse_address(config["names"])
+        self.directory_address = discovery_protocol.parse_address(config["names"])
         self.discovery_client = DiscoveryClient(
             self.facade,
             settings.get("discovery") == "ask",
@@ -109,19 +109,19 @@
 
     def run(self) -> None:
         """Serve until a stop is requested, then shut down; the server must have been started."""
-        self.discovery_client.use_directory(self.names)
-        for part in (
+        self.discovery_client.use_directory(self.directory_address)
+        for task in (
             self._round_loop,
             self._heartbeat_loop,
             self._prune_loop,
-            *(self.operator.parts() if self.operator is not None else ()),
+            *(self.operator.background_tasks() if self.operator is not None else ()),
         ):
-            self.parts.spawn(part)
+            self.greenlets.spawn(task)
         # Objects that exist by now live as long as the process: exempt them from garbage collection, which
         # would scan them in each of its full passes.
         gc.freeze()
         self.log("ready")
-        self.asked_to_stop.wait()
+        self.stop_requested.wait()
         self._shut_down()
 
     def reload(self, read: Callable[[], dict[str, Any]]) -> None:
@@ -136,8 +136,8 @@
             self.log(f"reload code=unusable_{type(fault).__name__}")
             return
         self.log(f"reload code=ok names={address[0]}:{address[1]}")
-        if address != self.names:
-            self.names = address
+        if address != self.directory_address:
+            self.directory_address = address
             self.discovery_client.use_directory(address)
 
     def _round_loop(self) -> None:
@@ -147,7 +147,7 @@
             # After a stall the event loop runs its timers before it reads the sockets. A round run at once
             # would miss the engines' responses and treat every engine as silent. The second sleep lets the
             # greenlets that were woken to read finish first.
-            gevent.sleep(self.step_s)
+            gevent.sleep(self.round_interval_s)
             gevent.sleep(0)
             try:
                 self.facade.tick()
@@ -160,8 +160,8 @@
             self.facade,
             self.dispatch_executor.send,
             self.buffers,
-            lambda: not self.asked_to_stop.is_set(),
-            self.longest_line,
+            lambda: not self.stop_requested.is_set(),
+            self.max_line_bytes,
         )
         if self.sessions.enter(connection):
             return connection
@@ -189,13 +189,19 @@
         self.log("stopping")
         if self.operator is not None:
             self.operator.stop()
-        gevent.sleep(STILL_COMING_S)
+        gevent.sleep(SHUTDOWN_GRACE_S)
         self._close_listener()
-        left_s = min(LONGEST_S, max(group.time_limit_us for group in self.facade.groups.values()) / 1e6)
+        left_s = min(
+            MAX_TIME_LIMIT_S, max(group.time_limit_us for group in self.facade.groups.values()) / 1e6
+        )
         self.facade.stop(int(BATCHES_ENDED_SHARE * left_s * 1e6))
-        self._wait_while(WRITTEN * left_s, lambda: len(self.facade.batches) or self.sessions.busy())
+        self._wait_while(
+            ANSWERS_WRITTEN_SHARE * left_s, lambda: len(self.facade.batches) or self.sessions.busy()
+        )
         self.sessions.part("stopped")
-        self._wait_while((CONNECTIONS_CLOSED_SHARE - WRITTEN) * left_s, lambda: len(self.sessions))
+        self._wait_while(
+            (CONNECTIONS_CLOSED_SHARE - ANSWERS_WRITTEN_SHARE) * left_s, lambda: len(self.sessions)
+        )
         if self.operator is not None:
             self.operator.close()
         self.log(f"stopped open={len(self.facade.batches)} clients={len(self.sessions)}")
@@ -211,11 +217,11 @@
         with gevent.Timeout(timeout_s, False):
             while True:
                 # First, since connections just accepted have not been read yet.
-                gevent.sleep(self.step_s)
+                gevent.sleep(self.round_interval_s)
                 if not condition():
                     return
         # After a stall the timeout fires before the sockets are read, so the condition may be outdated.
         for _ in range(INTERVALS_AFTER_TIMEOUT):
             if not condition():
                 return
-            gevent.sleep(self.step_s)
+            gevent.sleep(self.round_interval_s)
--- a/pathturn/process/log.py
+++ b/pathturn/process/log.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 # The crash of an engine ends some hundred connections at once; more lines than these add no information.
-LINES_A_SECOND = 40
+MAX_LINES_PER_S = 40
 FIELD_PATTERN = re.compile(r"(?<!\S)(\w+)=(\S+)")
 
 
@@ -23,11 +23,11 @@
         self.second = 0
         self.printed = 0
         self.dropped = 0
-        self.quiet = False  # set by commands that show a status line on the terminal
+        self.muted = False  # set by commands that show a status line on the terminal
         self._print = self._plain if log_format == "plain" else structured_printer(name, log_format)
 
     def __call__(self, text: str) -> None:
-        if self.quiet:
+        if self.muted:
             return
         second = int(time.time())
         if second != self.second:
@@ -36,7 +36,7 @@
             self.second = second
             self.printed = 0
             self.dropped = 0
-        if self.printed >= LINES_A_SECOND:
+        if self.printed >= MAX_LINES_PER_S:
             self.dropped += 1
             return
         self.printed += 1
--- a/pathturn/process/operator.py
+++ b/pathturn/process/operator.py
@@ -14,7 +14,7 @@
 from pathturn.control.protocol import Calls
 from pathturn.control.server import Control
 from pathturn.memory.facade import Facade
-from pathturn.process.settings import further_share
+from pathturn.process.settings import retry_share
 from pathturn.routing.checks import ValidationContext
 from pathturn.wire.clients import MAX_OPEN_BATCHES
 
@@ -34,7 +34,7 @@
         """Raise an exception if the files can't be used; nothing is in force then."""
         self.facade = facade
         self.max_open_batches = clients * MAX_OPEN_BATCHES
-        self.retry_share = further_share(settings)
+        self.retry_share = retry_share(settings)
         # Events that wait for a round count as traffic, and background jobs wait for them.
         self.scheduler = Scheduler(clock, lambda: bool(facade.events))
         self.ledger = Ledger(Path(installation.ledger))
@@ -53,7 +53,7 @@
             self.max_open_batches,
         )
 
-    def parts(self) -> list[Callable[[], None]]:
+    def background_tasks(self) -> list[Callable[[], None]]:
         """Start the control socket; return the functions to run in greenlets of their own."""
         if self.control is not None:
             self.control.start()
--- a/pathturn/process/settings.py
+++ b/pathturn/process/settings.py
@@ -46,13 +46,15 @@
     )
 
 
-def further_share(config: dict[str, Any]) -> float | None:
+def retry_share(config: dict[str, Any]) -> float | None:
     """Return how many retries the settings allow for each batch; None if they set no retry budget."""
     rules = config.get("rules") or {}
     return (rules.get("extraPerRequest") or 0.0) if rules.get("budgetSpanUs") else None
 
 
-def build(seed: int, config: dict[str, Any]) -> tuple[GatewayDispatcher, dict[str, names.ServiceGroup]]:
+def build_dispatcher(
+    seed: int, config: dict[str, Any]
+) -> tuple[GatewayDispatcher, dict[str, names.ServiceGroup]]:
     """Build the decision module; return it and the service groups by name, in the order of their indices."""
     domain = config.get("domain") or {}
     limits = config.get("limits") or {}
@@ -65,7 +67,7 @@
         raise ValueError("settings define no service group: `classes` is empty or missing")
     budget = None
     if rules.get("budgetSpanUs"):
-        budget = (rules.get("freeResends") or 0, further_share(config), rules["budgetSpanUs"])
+        budget = (rules.get("freeResends") or 0, retry_share(config), rules["budgetSpanUs"])
     dispatcher = GatewayDispatcher(
         seed=seed,
         instance=config.get("ordinal", 0),
--- a/pathturn/process/start.py
+++ b/pathturn/process/start.py
@@ -17,7 +17,7 @@
 EXIT_UNUSABLE_CONFIG = 2
 
 
-def read(config: Path | None) -> dict[str, Any]:
+def read_config(config: Path | None) -> dict[str, Any]:
     """Read a configuration file."""
     if config is None:
         raise ValueError("no configuration file: give an argument or set EDGE_CONFIG")
@@ -30,18 +30,18 @@
     Exits with code 2 and a one-line message if the configuration can't be used.
     """
     # Installed before the configuration is read: signals are kept from here on until the event loop runs.
-    gevent.signal_handler(signal.SIGTERM, lambda: gateway.asked_to_stop.set())
-    gevent.signal_handler(signal.SIGHUP, lambda: gateway.reload(lambda: read(config)))
+    gevent.signal_handler(signal.SIGTERM, lambda: gateway.stop_requested.set())
+    gevent.signal_handler(signal.SIGHUP, lambda: gateway.reload(lambda: read_config(config)))
     try:
-        gateway = GatewayProcess(read(config), _installation(operator))
+        gateway = GatewayProcess(read_config(config), _installation(operator))
         gateway.server.start()
     except Exception as fault:  # noqa: BLE001 - whatever the files hold, the caller gets a one-line message
-        print(unusable(fault), file=sys.stderr)
+        print(config_error_message(fault), file=sys.stderr)
         raise SystemExit(EXIT_UNUSABLE_CONFIG) from None
     gateway.run()
 
 
-def unusable(fault: Exception) -> str:
+def config_error_message(fault: Exception) -> str:
     """Return the message for a configuration that can't be used."""
     return f"pathturn: invalid configuration: {type(fault).__name__}: {fault}"
 
--- a/pathturn/standins/demo.py
+++ b/pathturn/standins/demo.py
@@ -32,7 +32,7 @@
         farm, address = _farm(), spare_address()
         host, port = address
         gateway = GatewayProcess(farm.configuration(f"{host}:{port}"), installed(Path(folder), DOCUMENT))
-        gateway.log.quiet = True
+        gateway.log.muted = True
         gateway.server.start()
         parts = [gevent.spawn(gateway.run)]
         crowd = Crowd(address)
@@ -45,7 +45,7 @@
         crowd.settle()
         change = next(iter(gateway.operator.conductor.history(1)), None)
         good = _table(crowd, farm, change) and (not harm or change.state == "undone")
-        gateway.asked_to_stop.set()
+        gateway.stop_requested.set()
         parts[0].join(3)
         crowd.close()
         farm.stop()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,8 +20,8 @@
 from pathturn.core import interface as names
 from pathturn.core.choice import GatewayDispatcher
 from pathturn.process.gateway import GatewayProcess
-from pathturn.process.limits import shares
-from pathturn.process.settings import build
+from pathturn.process.limits import connection_limits
+from pathturn.process.settings import build_dispatcher
 from pathturn.routing.limits import Limiter, Meter
 from pathturn.routing.pools import EnginePool
 from pathturn.routing.table import Destination
@@ -295,7 +295,7 @@
             each.close()
         if self.gateway is not None:
             self.gateway.server.stop(0)
-            self.gateway.parts.kill()
+            self.gateway.greenlets.kill()
             self.gateway.discovery_client.stop()
             if self.gateway.operator is not None:
                 self.gateway.operator.close()
@@ -324,7 +324,7 @@
         self.say(id=int(number), method=group, params=params)
 
     def gateway_key_queue_drain_us(self, group):
-        dispatcher, groups = build(1, self.settings)
+        dispatcher, groups = build_dispatcher(1, self.settings)
         return dispatcher.key_queue_drain_us(groups[group])
 
     def calls(self, first, last, group):
@@ -433,7 +433,10 @@
         """Nothing is open, and no connection is counted that is not there."""
         pools, deadline = self.gateway.pools, monotonic() + 2
         while True:
-            held, kept = shares(self.limit)[1] - pools.room.counter, sum(map(len, pools.idle.values()))
+            held, kept = (
+                connection_limits(self.limit)[1] - pools.room.counter,
+                sum(map(len, pools.idle.values())),
+            )
             if monotonic() > deadline or (held == kept and not len(self.gateway.facade.batches)):
                 break
             gevent.sleep(0.01)
--- a/tests/test_client_edges.py
+++ b/tests/test_client_edges.py
@@ -22,7 +22,7 @@
 from pathturn.memory.sessions import Sessions
 from pathturn.process import gateway as gateway_module
 from pathturn.process.clock import unix_clock
-from pathturn.process.limits import LONGEST_LINE, PARTING, shares
+from pathturn.process.limits import MAX_HALF_CLOSED, MAX_LINE_LIMIT_BYTES, connection_limits
 from pathturn.wire import jsonrpc
 from pathturn.wire.clients import MAX_OPEN_BATCHES, ClientConnection
 from pathturn.wire.statement import data_set
@@ -32,7 +32,7 @@
 # Pieces of 8 KiB that may be processed in a row; a partial line of 64 KiB takes 9.
 MAX_PIECES_PER_ITERATION = 10
 # Base64-encoded, and with 300 bytes for the other fields, it fits in the longest line.
-MAX_STATEMENT_BYTES = (LONGEST_LINE - 300) * 3 // 4
+MAX_STATEMENT_BYTES = (MAX_LINE_LIMIT_BYTES - 300) * 3 // 4
 NODELAY = (socket.IPPROTO_TCP, socket.TCP_NODELAY)
 PING = b'{"jsonrpc":"2.0","id":%d,"method":"ping"}\n'
 
@@ -148,7 +148,7 @@
     rig, monkeypatch
 ) -> None:
     """The request is written after the gateway has found no open batch, before it half-closes."""
-    monkeypatch.setattr(gateway_module, "STILL_COMING_S", 0.05)
+    monkeypatch.setattr(gateway_module, "SHUTDOWN_GRACE_S", 0.05)
     rig.engine("e")
     rig.start()
     client, _ = client_with_one_answer(rig)
@@ -162,7 +162,7 @@
         part(code)
 
     monkeypatch.setattr(sessions, "part", request_then_part)
-    rig.gateway.asked_to_stop.set()
+    rig.gateway.stop_requested.set()
     assert [each["id"] for each in read_all_answers(client)] == [1]
     gevent.sleep(0.05)
     assert codes == ["stopped"]
@@ -171,7 +171,7 @@
 
 
 def test_request_before_the_half_close_at_shutdown_is_answered(rig, monkeypatch) -> None:
-    monkeypatch.setattr(gateway_module, "STILL_COMING_S", 0.05)
+    monkeypatch.setattr(gateway_module, "SHUTDOWN_GRACE_S", 0.05)
     rig.engine("e")
     rig.start()
     client, connection = client_with_one_answer(rig)
@@ -184,7 +184,7 @@
         return busy()
 
     monkeypatch.setattr(rig.gateway.sessions, "busy", request_then_busy)
-    rig.gateway.asked_to_stop.set()
+    rig.gateway.stop_requested.set()
     assert sorted(each["id"] for each in read_all_answers(client)) == [1, 2]
     assert requests and connection.code == "stopped"
     client.close()
@@ -423,15 +423,15 @@
     """Up to a hundred connections are accepted in one event loop iteration, and for each the longest idle one
     is evicted. When the sockets of all idle connections were polled each time, a hundred took up to 163 ms of
     CPU time with 608 descriptors and 375 ms with 1,024."""
-    clients, _ = shares(descriptor_limit)
-    sessions = Sessions(clients, PARTING, unix_clock())
+    clients, _ = connection_limits(descriptor_limit)
+    sessions = Sessions(clients, MAX_HALF_CLOSED, unix_clock())
     facade = SimpleNamespace(clock=unix_clock(), leave=None)
     peers = []
 
     def idle_connection() -> ClientConnection:
         peer, link = socket.socketpair()
         peers.append(peer)
-        connection = ClientConnection(link, facade, None, Buffers(), lambda: True, LONGEST_LINE)
+        connection = ClientConnection(link, facade, None, Buffers(), lambda: True, MAX_LINE_LIMIT_BYTES)
         connection.line_received = True
         return connection
 
@@ -565,7 +565,7 @@
 ) -> None:
     """The only connection to engines is released after the client disconnects, or in the same iteration."""
     rig.sockets(60)
-    assert shares(60)[1] == 1
+    assert connection_limits(60)[1] == 1
     rig.engine("e")
     go = Event()
     news = rig.engines["e"].news
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -20,7 +20,7 @@
 from test_stop import Site, line
 
 from pathturn.process.gateway import GatewayProcess
-from pathturn.process.settings import build
+from pathturn.process.settings import build_dispatcher
 from pathturn.standins import farm
 from pathturn.wire import jsonrpc
 from pathturn.wire.discovery_client import QUERY_INTERVAL_S
@@ -592,9 +592,9 @@
         "freeResends": 1,
         "extraPerRequest": 0.1,
     }
-    first, groups = build(1, farm.settings())
-    second, fewer = build(1, other)
-    third, again = build(1, farm.settings())
+    first, groups = build_dispatcher(1, farm.settings())
+    second, fewer = build_dispatcher(1, other)
+    third, again = build_dispatcher(1, farm.settings())
     assert list(fewer) == ["peek"] and list(groups) == list(again) == list(farm.GROUPS)
 
     def told(one) -> tuple:
@@ -634,7 +634,7 @@
             assert orjson.loads(answers.readline())["error"]["code"] == jsonrpc.METHOD_NOT_FOUND
     finally:
         second.server.stop(0)
-        second.parts.kill()
+        second.greenlets.kill()
         second.discovery_client.stop()
         running.kill()
 
--- a/tests/test_corners.py
+++ b/tests/test_corners.py
@@ -5,7 +5,7 @@
 import pytest
 
 from pathturn.core import interface as names
-from pathturn.process.settings import build
+from pathturn.process.settings import build_dispatcher
 from pathturn.standins import farm
 from pathturn.wire import discovery_protocol
 
@@ -18,7 +18,7 @@
     def __init__(self, gateways: int, **rules) -> None:
         settings = farm.settings() | {"siblings": gateways, "ordinal": gateways - 1}
         settings["rules"] |= rules
-        self.dispatcher, self.groups = build(7, settings)
+        self.dispatcher, self.groups = build_dispatcher(7, settings)
         self.now, self.woken, self.numbers = 1_796_160_477 * SECOND, inf, iter(range(99))
         self.sent, self.ends, self.limits = [], [], []
 
@@ -146,7 +146,9 @@
 @pytest.mark.parametrize("told", [{"siblings": 0}, {"siblings": None}, {"kinds": []}, {"kinds": ["other"]}])
 def test_no_fleet_size_counts_as_one_gateway_and_an_unknown_machine_has_its_weight_in_cores(told) -> None:
     settings = farm.settings() | told
-    dispatcher, _ = build(7, {name: value for name, value in settings.items() if value is not None})
+    dispatcher, _ = build_dispatcher(
+        7, {name: value for name, value in settings.items() if value is not None}
+    )
     dispatcher.round(
         SECOND, [("engine_list", names.LIST_SNAPSHOT, [(0, "z", "m", 0, names.READY, 6, 0)])], Clock(1)
     )
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -62,7 +62,7 @@
     def close(self):
         self.running.kill()
         self.gateway.server.stop(0)
-        self.gateway.parts.kill()
+        self.gateway.greenlets.kill()
         self.gateway.discovery_client.poller.kill()
         self.operator.close()
         self.crowd.close()
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -14,7 +14,7 @@
 from gevent.server import DatagramServer
 
 from benchmarks.soak.site import GatewayUnderTest, gateway_command
-from pathturn.process.gateway import LONGEST_S, STILL_COMING_S, WRITTEN
+from pathturn.process.gateway import ANSWERS_WRITTEN_SHARE, MAX_TIME_LIMIT_S, SHUTDOWN_GRACE_S
 from pathturn.standins.clients import Caller
 from pathturn.standins.farm import Farm, at, spare_address
 
@@ -127,7 +127,7 @@
         half.sendall(line(1))
         began = site.term()
         longest_s = max(each["deadlineUs"] for each in site.settings["classes"]) / 1e6
-        limit = began + STILL_COMING_S + WRITTEN * min(LONGEST_S, longest_s)
+        limit = began + SHUTDOWN_GRACE_S + ANSWERS_WRITTEN_SHARE * min(MAX_TIME_LIMIT_S, longest_s)
         rest = b""
         for number, at_s in ((2, 0.5), (3, 1.5), (4, 2.5)):
             gevent.sleep(began + at_s - monotonic())
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -23,9 +23,9 @@
 from pathturn.cli import app
 from pathturn.core import interface as names
 from pathturn.memory.facade import Facade
-from pathturn.process.limits import shares
-from pathturn.process.log import LINES_A_SECOND, Log
-from pathturn.process.settings import build
+from pathturn.process.limits import connection_limits
+from pathturn.process.log import MAX_LINES_PER_S, Log
+from pathturn.process.settings import build_dispatcher
 from pathturn.standins import farm
 from pathturn.standins.engines import MORE, SPOILT
 from pathturn.standins.farm import at
@@ -291,12 +291,12 @@
 def test_log_counts_what_it_leaves_out(capsys, monkeypatch) -> None:
     log, now = Log("n0"), [100.0]
     monkeypatch.setattr("pathturn.process.log.time.time", lambda: now[0])
-    for number in range(LINES_A_SECOND + 3):
+    for number in range(MAX_LINES_PER_S + 3):
         log(f"line {number}")
     now[0] += 1
     log("next")
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == LINES_A_SECOND + 2
+    assert len(lines) == MAX_LINES_PER_S + 2
     assert lines[-2].endswith("log rate limit dropped=3") and lines[-1].endswith("n0 next")
 
 
@@ -351,7 +351,7 @@
     rig.call(1, "look")
     kept = [rig.stranger(b'{"jsonrpc":"2.0","id":1,"method":"ping"}\n') for _ in range(200)]
     assert all(b"healthy" in link.recv(200) for link in kept)
-    assert len(rig.gateway.sessions.held) <= shares(rig.limit)[0]
+    assert len(rig.gateway.sessions.held) <= connection_limits(rig.limit)[0]
     rig.returned(1)
 
 
@@ -423,7 +423,7 @@
 @pytest.mark.parametrize("early_us", range(0, 9_000, 1_500))
 def test_a_wake_is_not_lost_behind_one_that_a_round_took_time_to_ask_for(early_us) -> None:
     clock = itertools.count(1_000_000, 1_500).__next__  # as on a part of a core: each look costs time
-    facade = Facade(*build(1, farm.settings()), clock, True, print)
+    facade = Facade(*build_dispatcher(1, farm.settings()), clock, True, print)
     batch = facade.take(None, "0" * 16, "look", 300_000, None, None, None, 0, 0, 1, False, b"")
     while not batch.over:
         facade.tick()
