--- a/benchmarks/soak/plain.py
+++ b/benchmarks/soak/plain.py
@@ -12,7 +12,7 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-from pathturn.memory.buffers import Buffers
+from pathturn.memory.buffers import BufferPool
 from pathturn.wire import discovery_protocol, engine_protocol
 from pathturn.wire.engine_connection import EngineConnection
 
@@ -27,7 +27,7 @@
         self.random = Random(1)
         _, rows = discovery_protocol.parse_initial_list(told["known"])
         self.places = [(0, row[1]) for row in rows]
-        self.buffers = Buffers()
+        self.buffers = BufferPool()
         self.server = StreamServer(discovery_protocol.parse_address(told["listen"]), self._serve)
 
     def _serve(self, link: socket.socket, peer: tuple[str, int]) -> None:
--- a/pathturn/memory/buffers.py
+++ b/pathturn/memory/buffers.py
@@ -4,19 +4,19 @@
 from contextlib import contextmanager
 
 # Holds one result page with its header, so that most responses are read in one call.
-SIZE = 8192
+BUFFER_BYTES = 8192
 
 
-class Buffers:
-    """Receive buffers of `SIZE` bytes; grows with the number of buffers in use at once."""
+class BufferPool:
+    """Receive buffers of `BUFFER_BYTES` bytes; grows with the number of buffers in use at once."""
 
     def __init__(self) -> None:
         self.free: list[memoryview] = []
 
     @contextmanager
-    def lent(self) -> Iterator[memoryview]:
+    def borrowed(self) -> Iterator[memoryview]:
         """Yield a buffer and return it to the pool afterwards."""
-        buffer = self.free.pop() if self.free else memoryview(bytearray(SIZE))
+        buffer = self.free.pop() if self.free else memoryview(bytearray(BUFFER_BYTES))
         try:
             yield buffer
         finally:
--- a/pathturn/memory/pools.py
+++ b/pathturn/memory/connection_pool.py
@@ -15,79 +15,79 @@
 IDLE_TIMEOUT_DIVISOR = 2
 
 
-class Pools:
+class ConnectionPool:
     """Connections to engines, pooled by endpoint."""
 
     def __init__(
         self,
         cap: int,
         engine_idle_timeout_us: int,
-        dial_timeout_us: int,
+        connect_timeout_us: int,
         clock: Callable[[], int],
-        dial: Callable[[Place, float], EngineConnection],
+        connect: Callable[[Place, float], EngineConnection],
         log: Callable[[str], None],
     ) -> None:
-        self.room = BoundedSemaphore(cap)
-        self.clock, self.dial, self.log = clock, dial, log
+        self.slots = BoundedSemaphore(cap)
+        self.clock, self.connect, self.log = clock, connect, log
         self.idle_timeout_us = engine_idle_timeout_us // IDLE_TIMEOUT_DIVISOR
-        self.dial_s = dial_timeout_us / 1e6
+        self.connect_timeout_s = connect_timeout_us / 1e6
         self.idle: dict[Place, list[EngineConnection]] = defaultdict(list)
-        self.waiting = 0
+        self.waiters = 0
         # Connections whose attempt timed out while they were still being established, at most one for an
         # endpoint, each with the greenlet that waits for it. One that succeeds later serves the next attempt.
-        self.late: dict[Place, gevent.Greenlet] = {}
-        self.equal_answers: set[Place] = set()
+        self.pending_connections: dict[Place, gevent.Greenlet] = {}
+        self.identical_response_endpoints: set[Place] = set()
 
-    def borrow(self, place: Place, new: bool = False) -> EngineConnection:
+    def acquire(self, place: Place, new: bool = False) -> EngineConnection:
         """Return an idle connection to the endpoint, or a new one; `new` rules out idle ones."""
         idle = self.idle[place]
         # Where responses are identical, a late duplicate of an earlier response could be mistaken for the
         # next one, so the connection idle for longest is used: what it carried is too long ago for that.
         # Elsewhere the last used one is taken, so that surplus connections reach their idle timeout.
-        longest_idle_first = place in self.equal_answers
+        longest_idle_first = place in self.identical_response_endpoints
         while idle and not new:
             connection = idle.pop(0 if longest_idle_first else -1)
             if connection.is_usable():
                 return connection
-            self.drop(connection, "engine_closed")
+            self.discard(connection, "engine_closed")
         self._acquire_slot()
         try:
-            return self.dial(place, self.dial_s)
+            return self.connect(place, self.connect_timeout_s)
         except ConnectTimeoutError as timeout:
-            self._await_late_connection(timeout.connection)
+            self._await_pending_connection(timeout.connection)
             raise
         except BaseException:
-            self.room.release()
+            self.slots.release()
             raise
 
-    def expect_equal_answers(self, place: Place) -> None:
+    def expect_identical_responses(self, place: Place) -> None:
         """Note that an endpoint gives the same response to more than one request."""
-        self.equal_answers.add(place)
+        self.identical_response_endpoints.add(place)
 
-    def _await_late_connection(self, connection: EngineConnection) -> None:
+    def _await_pending_connection(self, connection: EngineConnection) -> None:
         """Wait for a connection to be established, for as long as an idle one is kept; give up earlier if
         its slot is needed or its engine is removed."""
-        if connection.place in self.late:
-            self.drop(connection, "connect_timeout")
+        if connection.place in self.pending_connections:
+            self.discard(connection, "connect_timeout")
             return
         self.log(f"engine {connection.host} code=connect_late")
-        waiter = self.late[connection.place] = gevent.spawn(
+        waiter = self.pending_connections[connection.place] = gevent.spawn(
             connection.wait_established, self.idle_timeout_us / 1e6
         )
         # A link also runs if the waiter is killed before it starts.
-        waiter.link(partial(self._finish_late_connection, connection))
+        waiter.link(partial(self._finish_pending_connection, connection))
 
-    def _finish_late_connection(self, connection: EngineConnection, waiter: gevent.Greenlet) -> None:
-        del self.late[connection.place]
+    def _finish_pending_connection(self, connection: EngineConnection, waiter: gevent.Greenlet) -> None:
+        del self.pending_connections[connection.place]
         if waiter.value is True:
-            self.give_back(connection)
+            self.release(connection)
         else:
-            self.drop(connection, "connect_timeout")
+            self.discard(connection, "connect_timeout")
 
-    def give_back(self, connection: EngineConnection) -> None:
+    def release(self, connection: EngineConnection) -> None:
         """Return a connection to the pool; it is closed if unusable or if others wait for a slot."""
-        if code := connection.retire_reason or ("connection_limit" if self.waiting else None):
-            self.drop(connection, code)
+        if code := connection.retire_reason or ("connection_limit" if self.waiters else None):
+            self.discard(connection, code)
             return
         connection.idle_since_us = self.clock()
         self.idle[connection.place].append(connection)
@@ -97,37 +97,37 @@
         oldest_us = self.clock() - self.idle_timeout_us
         for place, idle in list(self.idle.items()):
             while idle and idle[0].idle_since_us <= oldest_us:
-                self.drop(idle.pop(0), "idle")
+                self.discard(idle.pop(0), "idle")
             if not idle:
                 del self.idle[place]  # else the dict would grow without bound as engines are replaced
 
-    def keep_only(self, places: set[Place]) -> None:
+    def retain(self, places: set[Place]) -> None:
         """Close idle connections to all other endpoints: their addresses may be reused by new engines."""
-        self.equal_answers &= places
+        self.identical_response_endpoints &= places
         for place in self.idle.keys() - places:
             for connection in self.idle.pop(place):
-                self.drop(connection, "engine_gone")
-        for place in self.late.keys() - places:
-            self.late[place].kill(block=False)
+                self.discard(connection, "engine_gone")
+        for place in self.pending_connections.keys() - places:
+            self.pending_connections[place].kill(block=False)
 
     def _acquire_slot(self) -> None:
         """Take a slot under the connection limit; if none is free, free one and wait in turn. Waiting is no
         failure of the engine: the limit is the gateway's own."""
-        if self.room.acquire(blocking=False):
+        if self.slots.acquire(blocking=False):
             return
         fullest = max(self.idle.values(), key=len, default=None)
         if fullest:
-            self.drop(fullest.pop(0), "connection_limit")
-        elif self.late:
-            next(iter(self.late.values())).kill(block=False)
+            self.discard(fullest.pop(0), "connection_limit")
+        elif self.pending_connections:
+            next(iter(self.pending_connections.values())).kill(block=False)
         self.log("limit of connections to engines reached")
-        self.waiting += 1
+        self.waiters += 1
         try:
-            self.room.acquire()
+            self.slots.acquire()
         finally:
-            self.waiting -= 1
+            self.waiters -= 1
 
-    def drop(self, connection: EngineConnection, code: str) -> None:
+    def discard(self, connection: EngineConnection, code: str) -> None:
         """Close a connection and free its slot."""
         connection.close(code)
-        self.room.release()
+        self.slots.release()
--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -11,9 +11,9 @@
 from gevent.pool import Group
 
 from pathturn.core import interface as names
-from pathturn.memory.buffers import Buffers
+from pathturn.memory.buffers import BufferPool
+from pathturn.memory.connection_pool import ConnectionPool
 from pathturn.memory.facade import STALL_THRESHOLD_US, Facade
-from pathturn.memory.pools import Pools
 from pathturn.memory.sessions import Sessions
 from pathturn.process.clock import unix_clock
 from pathturn.process.limits import MAX_HALF_CLOSED, connection_limits, max_line_bytes
@@ -48,7 +48,7 @@
 INTERVALS_AFTER_TIMEOUT = 8
 DEFAULT_ROUND_INTERVAL_US = 1000
 DEFAULT_ENGINE_IDLE_TIMEOUT_US = 1_000_000
-DEFAULT_DIAL_TIMEOUT_US = 250_000
+DEFAULT_CONNECT_TIMEOUT_US = 250_000
 
 
 class GatewayProcess:
@@ -70,19 +70,25 @@
         )
         client_limit, engine_limit = connection_limits(config["limits"]["sockets"])
         self.max_line_bytes = max_line_bytes(config["limits"]["memory_mb"], client_limit)
-        self.buffers = Buffers()
+        self.buffers = BufferPool()
         self.sessions = Sessions(client_limit, MAX_HALF_CLOSED, self.clock)
-        self.pools = Pools(
+        self.connection_pool = ConnectionPool(
             engine_limit,
             limits.get("idleCloseUs") or DEFAULT_ENGINE_IDLE_TIMEOUT_US,
-            limits.get("dialTimeoutUs") or DEFAULT_DIAL_TIMEOUT_US,
+            limits.get("dialTimeoutUs") or DEFAULT_CONNECT_TIMEOUT_US,
             self.clock,
-            lambda place, dial_s: EngineConnection(place, dial_s, self.buffers, self.log),
+            lambda place, connect_timeout_s: EngineConnection(
+                place, connect_timeout_s, self.buffers, self.log
+            ),
             self.log,
         )
         report = settings.get("report") or {}
         self.dispatch_executor = DispatchExecutor(
-            self.facade, self.pools, self.clock, report.get("fields") or [], bool(limits.get("secondCopies"))
+            self.facade,
+            self.connection_pool,
+            self.clock,
+            report.get("fields") or [],
+            bool(limits.get("secondCopies")),
         )
         self.stop_requested = Event()
         self.greenlets = Group()
@@ -93,7 +99,7 @@
             self.facade,
             settings.get("discovery") == "ask",
             serial,
-            lambda: self.pools.keep_only(self.facade.roster.places),
+            lambda: self.connection_pool.retain(self.facade.roster.places),
             self.log,
         )
         self.operator: Operator | None = None
@@ -181,7 +187,7 @@
     def _prune_loop(self) -> None:
         while True:
             gevent.sleep(PRUNE_INTERVAL_S)
-            self.pools.prune()
+            self.connection_pool.prune()
             self.sessions.prune()
 
     def _shut_down(self) -> None:
--- a/pathturn/wire/clients.py
+++ b/pathturn/wire/clients.py
@@ -12,7 +12,7 @@
 
 from pathturn.core import interface as names
 from pathturn.memory.batches import Batch, Dispatch, End
-from pathturn.memory.buffers import SIZE, Buffers
+from pathturn.memory.buffers import BUFFER_BYTES, BufferPool
 from pathturn.memory.facade import Facade
 from pathturn.wire import jsonrpc
 from pathturn.wire.engine_connection import nothing_to_read, peer_closed
@@ -52,7 +52,7 @@
 READER_ITERATIONS = 3
 # The replies to one read of the shortest lines. The writer runs before the next read, so more than this is
 # queued only when the client does not read.
-MAX_QUEUED_REPLY_BYTES = 10 * SIZE
+MAX_QUEUED_REPLY_BYTES = 10 * BUFFER_BYTES
 # Ten times as long as, by the protocol, a batch may cross the gateway's half-close. A client that has not
 # closed its side by then is not going to.
 HALF_CLOSE_TIMEOUT_US = 500_000
@@ -66,7 +66,7 @@
         sock: socket.socket,
         facade: Facade,
         send: Callable[[Dispatch], None],
-        buffers: Buffers,
+        buffers: BufferPool,
         is_ready: Callable[[], bool],
         max_line_bytes: int,
     ) -> None:
@@ -198,11 +198,11 @@
         """Process input until the client closes the connection; return the reason code."""
         while True:
             if self.lines.read_ahead:
-                piece = bytes(self.lines.read_ahead[:SIZE])
-                del self.lines.read_ahead[:SIZE]
+                piece = bytes(self.lines.read_ahead[:BUFFER_BYTES])
+                del self.lines.read_ahead[:BUFFER_BYTES]
                 self._process(memoryview(piece))
             else:
-                with self.buffers.lent() as buffer:
+                with self.buffers.borrowed() as buffer:
                     if not (size := self.reader.receive_into(buffer)):
                         return self.code or "client_closed"
                     self._process(buffer[:size])
@@ -248,12 +248,12 @@
             left_us = deadline_us - self.facade.clock()
             if left_us <= 0:
                 break
-            if not (room := min(SIZE, self.lines.read_ahead_room)):
+            if not (room := min(BUFFER_BYTES, self.lines.read_ahead_room)):
                 if peer_closed(self.socket):
                     return False
                 gevent.sleep(min(left_us, CLOSE_POLL_US) / 1e6)
                 continue
-            with gevent.Timeout(left_us / 1e6, False), self.buffers.lent() as buffer:
+            with gevent.Timeout(left_us / 1e6, False), self.buffers.borrowed() as buffer:
                 if not (size := self.reader.receive_into(buffer[:room])):
                     return False
                 self.lines.read_ahead += buffer[:size]
--- a/pathturn/wire/dispatch_executor.py
+++ b/pathturn/wire/dispatch_executor.py
@@ -6,8 +6,8 @@
 
 from pathturn.core import interface as names
 from pathturn.memory.batches import Dispatch
+from pathturn.memory.connection_pool import ConnectionPool
 from pathturn.memory.facade import Facade
-from pathturn.memory.pools import Pools
 from pathturn.wire import engine_protocol
 from pathturn.wire.engine_connection import ConnectFailedError, ConnectionLostError, RequestNotSentError
 from pathturn.wire.exchange import Exchange
@@ -35,14 +35,14 @@
     def __init__(
         self,
         facade: Facade,
-        pools: Pools,
+        connection_pool: ConnectionPool,
         clock: Callable[[], int],
         report_fields: list[str],
         allow_concurrent: bool,
     ) -> None:
         """`allow_concurrent` tells whether two dispatches of a batch may run at the same time."""
         self.facade = facade
-        self.pools = pools
+        self.connection_pool = connection_pool
         self.clock = clock
         self.report_fields = report_fields
         self.allow_concurrent = allow_concurrent
@@ -52,7 +52,7 @@
         gevent.spawn(self._run_dispatch, dispatch)
 
     def _run_dispatch(self, dispatch: Dispatch) -> None:
-        exchange = Exchange(dispatch, self.pools)
+        exchange = Exchange(dispatch, self.connection_pool)
         greenlet = gevent.getcurrent()
         if (
             dispatch.called_back or dispatch.batch.over
@@ -151,7 +151,7 @@
         batch = exchange.dispatch.batch
         while not self.facade.follows(dispatch):
             gevent.sleep(ORDER_POLL_S)
-        exchange.connection = self.pools.borrow(dispatch.place)
+        exchange.connection = self.connection_pool.acquire(dispatch.place)
         if not self.facade.stands(dispatch):
             exchange.release_connection()
             self._report(exchange, names.UNSENT)
@@ -225,10 +225,10 @@
     ) -> CancelReply:
         """Send a control request on another connection than the one that polls the query, and if wanted on a
         newly opened one."""
-        exchange = Exchange(dispatch, self.pools)
+        exchange = Exchange(dispatch, self.connection_pool)
         try:
-            with gevent.Timeout(self.pools.dial_s, DispatchTimeoutError):
-                exchange.connection = self.pools.borrow(dispatch.place, new_connection)
+            with gevent.Timeout(self.connection_pool.connect_timeout_s, DispatchTimeoutError):
+                exchange.connection = self.connection_pool.acquire(dispatch.place, new_connection)
                 status = exchange.connection.call_control(
                     request(exchange.connection.host, dispatch.batch.ticket), exchange.response_timeout_s
                 )
--- a/pathturn/wire/engine_connection.py
+++ b/pathturn/wire/engine_connection.py
@@ -10,7 +10,7 @@
 from gevent import socket
 from gevent.socket import wait_write
 
-from pathturn.memory.buffers import Buffers
+from pathturn.memory.buffers import BufferPool
 from pathturn.memory.roster import Place
 from pathturn.wire import engine_protocol
 from pathturn.wire.engine_protocol import ResultFingerprint
@@ -88,7 +88,7 @@
     """A connection to an engine. Logs its number of requests and a reason code when it is closed."""
 
     def __init__(
-        self, place: Place, connect_timeout_s: float, buffers: Buffers, log: Callable[[str], None]
+        self, place: Place, connect_timeout_s: float, buffers: BufferPool, log: Callable[[str], None]
     ) -> None:
         _, address = self.place = place
         self.host = f"{address[0]}:{address[1]}"
@@ -169,7 +169,7 @@
     def read_response(self) -> tuple[int, dict[str, str], bytes]:
         """Read the pending response, or the rest of it."""
         try:
-            with self.buffers.lent() as buffer:
+            with self.buffers.borrowed() as buffer:
                 while not self.parser.feed(self._receive(buffer)):
                     pass
             self.response_pending = False
--- a/pathturn/wire/exchange.py
+++ b/pathturn/wire/exchange.py
@@ -6,7 +6,7 @@
 import gevent
 
 from pathturn.memory.batches import Dispatch
-from pathturn.memory.pools import Pools
+from pathturn.memory.connection_pool import ConnectionPool
 from pathturn.wire import engine_protocol
 from pathturn.wire.engine_connection import (
     ConnectFailedError,
@@ -33,9 +33,9 @@
     is requested again on a new connection, and the query is not run again.
     """
 
-    def __init__(self, dispatch: Dispatch, pools: Pools) -> None:
+    def __init__(self, dispatch: Dispatch, connection_pool: ConnectionPool) -> None:
         self.dispatch = dispatch
-        self.pools = pools
+        self.connection_pool = connection_pool
         self.started = False
         self.response_lost = False
         self.connection: EngineConnection | None = None
@@ -46,13 +46,15 @@
         # Whether the engine has answered the start or a request about it.
         self.start_acknowledged = False
         self.start_arrival_limit_us = 0  # until then the start may reach the engine
-        self.response_timeout_s = pools.dial_s + engine_protocol.POLL_RESPONSE_US / 1e6
+        self.response_timeout_s = connection_pool.connect_timeout_s + engine_protocol.POLL_RESPONSE_US / 1e6
 
     def start(self, request: bytes) -> tuple[int, Response]:
         """Send the start; return the number of pages of the result, 0 without a result, and the
         response."""
         self.start_arrival_limit_us = (
-            self.pools.clock() + engine_protocol.POLL_RESPONSE_US + engine_protocol.UNPOLLED_LIFETIME_US
+            self.connection_pool.clock()
+            + engine_protocol.POLL_RESPONSE_US
+            + engine_protocol.UNPOLLED_LIFETIME_US
         )
         try:
             result = self._call_once(request, engine_protocol.page_count)
@@ -131,7 +133,7 @@
                 if self.connection is None:
                     # Backoff: an engine that was just restarted resets many connections at once.
                     gevent.sleep(RETRY_BACKOFF_S * 2**tries)
-                    self.connection = self.pools.borrow(self.dispatch.place, new=True)
+                    self.connection = self.connection_pool.acquire(self.dispatch.place, new=True)
                 return self._call_once(
                     engine_protocol.page_request(self.connection.host, self.dispatch.batch.ticket, number),
                     check,
@@ -146,7 +148,9 @@
         """Send a request; return the result of the check and the response. A connection that received more
         data than the response is not reused."""
         self.query_expiry_us = (
-            self.pools.clock() + engine_protocol.POLL_RESPONSE_US + engine_protocol.UNPOLLED_LIFETIME_US
+            self.connection_pool.clock()
+            + engine_protocol.POLL_RESPONSE_US
+            + engine_protocol.UNPOLLED_LIFETIME_US
         )
         response = self.connection.call(request, self.response_timeout_s)
         self._resolve_suspected(engine_protocol.result_fingerprint(*response))
@@ -180,21 +184,21 @@
         connection, suspected_fingerprint = self.suspected
         self.suspected = None
         if fingerprint == suspected_fingerprint:
-            self.pools.expect_equal_answers(connection.place)
-            self.pools.give_back(connection)
+            self.connection_pool.expect_identical_responses(connection.place)
+            self.connection_pool.release(connection)
         else:
-            self.pools.drop(connection, "lost_duplicate")
+            self.connection_pool.discard(connection, "lost_duplicate")
 
     def release_connection(self) -> None:
         """Return the connection to the pool."""
         self._resolve_suspected(None)
         if self.connection is not None:
-            self.pools.give_back(self.connection)
+            self.connection_pool.release(self.connection)
             self.connection = None
 
     def close_connection(self, code: str) -> None:
         """Close the connection with a reason code for the log."""
         self._resolve_suspected(None)
         if self.connection is not None:
-            self.pools.drop(self.connection, code)
+            self.connection_pool.discard(self.connection, code)
             self.connection = None
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -431,11 +431,11 @@
 
     def idle(self):
         """Nothing is open, and no connection is counted that is not there."""
-        pools, deadline = self.gateway.pools, monotonic() + 2
+        connection_pool, deadline = self.gateway.connection_pool, monotonic() + 2
         while True:
             held, kept = (
-                connection_limits(self.limit)[1] - pools.room.counter,
-                sum(map(len, pools.idle.values())),
+                connection_limits(self.limit)[1] - connection_pool.slots.counter,
+                sum(map(len, connection_pool.idle.values())),
             )
             if monotonic() > deadline or (held == kept and not len(self.gateway.facade.batches)):
                 break
--- a/tests/test_client_edges.py
+++ b/tests/test_client_edges.py
@@ -18,7 +18,7 @@
 from test_close_range import HEARD_S, descriptors, until
 from test_stop import line
 
-from pathturn.memory.buffers import Buffers
+from pathturn.memory.buffers import BufferPool
 from pathturn.memory.sessions import Sessions
 from pathturn.process import gateway as gateway_module
 from pathturn.process.clock import unix_clock
@@ -431,7 +431,7 @@
     def idle_connection() -> ClientConnection:
         peer, link = socket.socketpair()
         peers.append(peer)
-        connection = ClientConnection(link, facade, None, Buffers(), lambda: True, MAX_LINE_LIMIT_BYTES)
+        connection = ClientConnection(link, facade, None, BufferPool(), lambda: True, MAX_LINE_LIMIT_BYTES)
         connection.line_received = True
         return connection
 
@@ -575,16 +575,18 @@
     until(lambda: rig.engines["e"].posted)
     client = socket.create_connection(rig.listen)
     client.sendall(line(2))
-    until(lambda: rig.gateway.pools.waiting)
-    room = rig.gateway.pools.room
+    until(lambda: rig.gateway.connection_pool.waiters)
+    room = rig.gateway.connection_pool.slots
     closed = []
     if same_iteration:
         release = room.release
-        rig.gateway.pools.room = ClosingRoom(room, lambda: closed.append(client.close()) or release())
+        rig.gateway.connection_pool.slots = ClosingRoom(
+            room, lambda: closed.append(client.close()) or release()
+        )
         go.set()
     else:
         client.close()
-        until(lambda: not rig.gateway.pools.waiting)
+        until(lambda: not rig.gateway.connection_pool.waiters)
         go.set()
     rig.returned(1)
     until(lambda: not len(rig.gateway.facade.batches))
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -170,7 +170,7 @@
     rig.engine("e")
     rig.start()
     facade, dialled, decided = rig.gateway.facade, [], []
-    monkeypatch.setattr(rig.gateway.pools, "dial", lambda *told: dialled.append(told) or 1 // 0)
+    monkeypatch.setattr(rig.gateway.connection_pool, "connect", lambda *told: dialled.append(told) or 1 // 0)
     decide = facade.dispatch
 
     def leave_at_once(batch, engine, time_limit_us):
--- a/tests/test_engine_edges.py
+++ b/tests/test_engine_edges.py
@@ -62,7 +62,7 @@
 
 
 def idle_connections(rig) -> list[EngineConnection]:
-    return [connection for idle in rig.gateway.pools.idle.values() for connection in idle]
+    return [connection for idle in rig.gateway.connection_pool.idle.values() for connection in idle]
 
 
 def count_starts(rig) -> int:
@@ -439,32 +439,32 @@
 
 def hold_slot(batch, monkeypatch) -> Held:
     """The connection limit is reached when the retry is sent."""
-    pools = batch.rig.gateway.pools
+    connection_pool = batch.rig.gateway.connection_pool
     held = Held(lambda: None)
-    borrow = pools.borrow
+    acquire = connection_pool.acquire
 
-    def held_borrow(place, new=False):
+    def held_acquire(place, new=False):
         if batch.is_retry_engine(place[1]):
             held()
-        return borrow(place, new)
+        return acquire(place, new)
 
-    monkeypatch.setattr(pools, "borrow", held_borrow)
+    monkeypatch.setattr(connection_pool, "acquire", held_acquire)
     return held
 
 
 def stall_process(batch, monkeypatch) -> Held:
     """The whole process stalls until the window is over."""
-    pools = batch.rig.gateway.pools
+    connection_pool = batch.rig.gateway.connection_pool
     held = Held(lambda: None)
-    borrow = pools.borrow
+    acquire = connection_pool.acquire
 
-    def held_borrow(place, new=False):
+    def held_acquire(place, new=False):
         if batch.is_retry_engine(place[1]) and not held.came.is_set():
             held.came.set()
             time.sleep(max(0, batch.started_at() + 1.05 * RETRY_WINDOW_S - monotonic()))
-        return borrow(place, new)
+        return acquire(place, new)
 
-    monkeypatch.setattr(pools, "borrow", held_borrow)
+    monkeypatch.setattr(connection_pool, "acquire", held_acquire)
     return held
 
 
--- a/tests/test_identical_responses.py
+++ b/tests/test_identical_responses.py
@@ -29,10 +29,10 @@
 class ConnectionCount:
     """Counts the connections that are opened to engines."""
 
-    def __init__(self, pools) -> None:
+    def __init__(self, connection_pool) -> None:
         self.opened = 0
-        self.connect = pools.dial
-        pools.dial = self.dial
+        self.connect = connection_pool.connect
+        connection_pool.connect = self.dial
 
     def dial(self, *told):
         self.opened += 1
@@ -59,7 +59,7 @@
         rig.engine(name, "rows:1")
         report_same_cost(rig.engines[name])
     rig.start()
-    connections = ConnectionCount(rig.gateway.pools)
+    connections = ConnectionCount(rig.gateway.connection_pool)
     first = steady_traffic(rig, 1, WARM_UP_S)
     opened = connections.opened
     requests = requests_of(rig)
@@ -78,11 +78,14 @@
     rig.engine("e", "rows:1")
     report_same_cost(rig.engines["e"])
     rig.start()
-    connections = ConnectionCount(rig.gateway.pools)
+    connections = ConnectionCount(rig.gateway.connection_pool)
     for number in range(1, 11):
         rig.call(number, "look")
         rig.returned(number)
-    assert len(rig.gateway.pools.idle[next(iter(rig.gateway.pools.idle))]) == connections.opened
+    assert (
+        len(rig.gateway.connection_pool.idle[next(iter(rig.gateway.connection_pool.idle))])
+        == connections.opened
+    )
 
 
 def test_a_duplicate_response_ends_no_other_batch_where_identical_responses_are_known(rig) -> None:
@@ -109,7 +112,7 @@
         link, 200, [("X-Pages", 1), ("X-Cost-Ms", 5), ("X-Needed-Mb", 1)], own_rows(int(ticket, 16))
     )
     rig.start()
-    connections = ConnectionCount(rig.gateway.pools)
+    connections = ConnectionCount(rig.gateway.connection_pool)
     for number in range(1, 31):
         rig.call(number, "look")
         assert b64decode(rig.answered(number)["result"]["data"]) == own_rows(number)
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -9,7 +9,7 @@
 from gevent.event import Event
 from test_close_range import until
 
-from pathturn.memory.pools import Pools
+from pathturn.memory.connection_pool import ConnectionPool
 from pathturn.process.clock import unix_clock
 from pathturn.wire.engine_connection import ConnectTimeoutError
 
@@ -135,20 +135,24 @@
     rig.returned(1)
     rig.asked("e", "POST", 1)
     assert len(connects) == 1
-    assert not rig.gateway.pools.late
+    assert not rig.gateway.connection_pool.pending_connections
 
 
 def test_a_connection_that_is_never_established_releases_its_slot(rig, monkeypatch) -> None:
     rig.set("limits.idleCloseUs", "200000")
     rig.engine("e")
     rig.start()
-    pools = rig.gateway.pools
-    capacity = pools.room.counter
+    connection_pool = rig.gateway.connection_pool
+    capacity = connection_pool.slots.counter
     failed_addresses = first_connect_fails(rig, monkeypatch, TimeoutError)
     rig.call(1, "look")
     rig.returned(1)
     assert len(failed_addresses) == 1
-    until(lambda: not pools.late and not pools.idle and pools.room.counter == capacity)
+    until(
+        lambda: not connection_pool.pending_connections
+        and not connection_pool.idle
+        and connection_pool.slots.counter == capacity
+    )
 
 
 class PendingConnection:
@@ -184,12 +188,12 @@
         opened.append(PendingConnection(place))
         raise ConnectTimeoutError(TimeoutError(), opened[-1])
 
-    return Pools(2, 2_000_000, 250_000, unix_clock, connect, lambda text: None), opened
+    return ConnectionPool(2, 2_000_000, 250_000, unix_clock, connect, lambda text: None), opened
 
 
 def acquire_pending(pool, place) -> None:
     with pytest.raises(ConnectTimeoutError):
-        pool.borrow(place)
+        pool.acquire(place)
 
 
 def test_one_pending_connection_is_kept_for_each_endpoint(pool_of_pending_connections) -> None:
@@ -198,18 +202,18 @@
     acquire_pending(pool, ENDPOINTS[0])
     assert [connection.closed_with for connection in opened] == [None, "connect_timeout"]
     opened[0].established.set()
-    until(lambda: not pool.late)
-    assert pool.borrow(ENDPOINTS[0]) is opened[0]
+    until(lambda: not pool.pending_connections)
+    assert pool.acquire(ENDPOINTS[0]) is opened[0]
 
 
 def test_a_pending_connection_to_a_removed_engine_is_closed_at_once(pool_of_pending_connections) -> None:
     """Also if the greenlet that waits for it has not run yet."""
     pool, opened = pool_of_pending_connections
     acquire_pending(pool, ENDPOINTS[0])
-    pool.keep_only({ENDPOINTS[1]})
+    pool.retain({ENDPOINTS[1]})
     until(lambda: opened[0].closed_with)
-    assert not pool.late
-    assert pool.room.counter == 2
+    assert not pool.pending_connections
+    assert pool.slots.counter == 2
 
 
 def test_pending_connections_are_discarded_at_the_connection_limit(pool_of_pending_connections) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -599,9 +599,13 @@
         rig.call(number, "load", key="k")
         rig.returned(number)
     gevent.sleep(0.4)
-    dispatcher, facade, pools = rig.gateway.facade.dispatcher, rig.gateway.facade, rig.gateway.pools
+    dispatcher, facade, connection_pool = (
+        rig.gateway.facade.dispatcher,
+        rig.gateway.facade,
+        rig.gateway.connection_pool,
+    )
     assert len(dispatcher.engines) == len(facade.roster.place) == len(facade.roster.index_of) == 1
-    assert [place[0] for place in pools.idle] == list(dispatcher.engines) == [5]
+    assert [place[0] for place in connection_pool.idle] == list(dispatcher.engines) == [5]
     assert (
         not dispatcher.key_queues.queues
         and not facade.batches.tickets
