--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -12,9 +12,9 @@
 
 from pathturn.core import interface as names
 from pathturn.memory.buffers import BufferPool
+from pathturn.memory.client_connections import ClientConnections
 from pathturn.memory.connection_pool import ConnectionPool
 from pathturn.memory.facade import STALL_THRESHOLD_US, Facade
-from pathturn.memory.sessions import Sessions
 from pathturn.process.clock import unix_clock
 from pathturn.process.limits import MAX_HALF_CLOSED, connection_limits, max_line_bytes
 from pathturn.process.log import Log
@@ -71,7 +71,7 @@
         client_limit, engine_limit = connection_limits(config["limits"]["sockets"])
         self.max_line_bytes = max_line_bytes(config["limits"]["memory_mb"], client_limit)
         self.buffers = BufferPool()
-        self.sessions = Sessions(client_limit, MAX_HALF_CLOSED, self.clock)
+        self.client_connections = ClientConnections(client_limit, MAX_HALF_CLOSED, self.clock)
         self.connection_pool = ConnectionPool(
             engine_limit,
             limits.get("idleCloseUs") or DEFAULT_ENGINE_IDLE_TIMEOUT_US,
@@ -169,14 +169,14 @@
             lambda: not self.stop_requested.is_set(),
             self.max_line_bytes,
         )
-        if self.sessions.enter(connection):
+        if self.client_connections.admit(connection):
             return connection
         self.log(f"client {peer[0]}:{peer[1]} batches=0 code=connection_limit")
         return None
 
     def _serve_client(self, connection: ClientConnection, peer: tuple[str, int]) -> None:
         code = connection.serve()
-        self.sessions.leave(connection)
+        self.client_connections.remove(connection)
         self.log(f"client {peer[0]}:{peer[1]} batches={connection.batches_received} code={code}")
 
     def _heartbeat_loop(self) -> None:
@@ -188,7 +188,7 @@
         while True:
             gevent.sleep(PRUNE_INTERVAL_S)
             self.connection_pool.prune()
-            self.sessions.prune()
+            self.client_connections.prune()
 
     def _shut_down(self) -> None:
         """Answer every open batch before the SIGKILL that follows; batches with later deadlines end early."""
@@ -202,15 +202,15 @@
         )
         self.facade.stop(int(BATCHES_ENDED_SHARE * left_s * 1e6))
         self._wait_while(
-            ANSWERS_WRITTEN_SHARE * left_s, lambda: len(self.facade.batches) or self.sessions.busy()
+            ANSWERS_WRITTEN_SHARE * left_s, lambda: len(self.facade.batches) or self.client_connections.busy()
         )
-        self.sessions.part("stopped")
+        self.client_connections.half_close_all("stopped")
         self._wait_while(
-            (CONNECTIONS_CLOSED_SHARE - ANSWERS_WRITTEN_SHARE) * left_s, lambda: len(self.sessions)
+            (CONNECTIONS_CLOSED_SHARE - ANSWERS_WRITTEN_SHARE) * left_s, lambda: len(self.client_connections)
         )
         if self.operator is not None:
             self.operator.close()
-        self.log(f"stopped open={len(self.facade.batches)} clients={len(self.sessions)}")
+        self.log(f"stopped open={len(self.facade.batches)} clients={len(self.client_connections)}")
 
     def _close_listener(self) -> None:
         try:
--- a/tests/test_client_edges.py
+++ b/tests/test_client_edges.py
@@ -19,7 +19,7 @@
 from test_stop import line
 
 from pathturn.memory.buffers import BufferPool
-from pathturn.memory.sessions import Sessions
+from pathturn.memory.client_connections import ClientConnections
 from pathturn.process import gateway as gateway_module
 from pathturn.process.clock import unix_clock
 from pathturn.process.limits import MAX_HALF_CLOSED, MAX_LINE_LIMIT_BYTES, connection_limits
@@ -43,7 +43,7 @@
     def found() -> list[ClientConnection]:
         return [
             each
-            for each in rig.gateway.sessions.held
+            for each in rig.gateway.client_connections.active
             if not each.socket.closed and each.socket.getpeername() == client.getsockname()
         ]
 
@@ -140,7 +140,7 @@
         until(lambda: len(connection.lines.partial) == first_bytes)
         client.sendall(line(1)[first_bytes:])
         connection.last_active_us = connection.partial_line_since_us = 0
-        rig.gateway.sessions.prune()  # in the same event loop iteration: the rest has not been read
+        rig.gateway.client_connections.prune()  # in the same event loop iteration: the rest has not been read
         assert [each["id"] for each in read_first_answer(client)] == [1]
 
 
@@ -152,16 +152,16 @@
     rig.engine("e")
     rig.start()
     client, _ = client_with_one_answer(rig)
-    sessions = rig.gateway.sessions
+    client_connections = rig.gateway.client_connections
     codes = []
-    part = sessions.part
+    part = client_connections.half_close_all
 
     def request_then_part(code):
         codes.append(code)
         client.sendall(line(2))
         part(code)
 
-    monkeypatch.setattr(sessions, "part", request_then_part)
+    monkeypatch.setattr(client_connections, "half_close_all", request_then_part)
     rig.gateway.stop_requested.set()
     assert [each["id"] for each in read_all_answers(client)] == [1]
     gevent.sleep(0.05)
@@ -175,7 +175,7 @@
     rig.engine("e")
     rig.start()
     client, connection = client_with_one_answer(rig)
-    busy = rig.gateway.sessions.busy
+    busy = rig.gateway.client_connections.busy
     requests = []
 
     def request_then_busy():
@@ -183,7 +183,7 @@
             requests.append(client.sendall(line(2)))
         return busy()
 
-    monkeypatch.setattr(rig.gateway.sessions, "busy", request_then_busy)
+    monkeypatch.setattr(rig.gateway.client_connections, "busy", request_then_busy)
     rig.gateway.stop_requested.set()
     assert sorted(each["id"] for each in read_all_answers(client)) == [1, 2]
     assert requests and connection.code == "stopped"
@@ -267,7 +267,7 @@
         running.kill()
         running.wait()
         running.stdout.close()
-        for each in list(rig.gateway.sessions.held):
+        for each in list(rig.gateway.client_connections.active):
             each.close("test_over")  # else its unread input would be processed during the next test
 
 
@@ -400,22 +400,22 @@
     rig.sockets(64)
     rig.engine("e")
     rig.start()
-    sessions = rig.gateway.sessions
+    client_connections = rig.gateway.client_connections
     counts = []
     before = descriptors()
-    enter = sessions.enter
-    first = [plain.create_connection(rig.listen) for _ in range(sessions.cap)]
-    until(lambda: len(sessions.held) == sessions.cap)
+    enter = client_connections.admit
+    first = [plain.create_connection(rig.listen) for _ in range(client_connections.cap)]
+    until(lambda: len(client_connections.active) == client_connections.cap)
     gevent.sleep(0.05)  # until each reader waits for input
     monkeypatch.setattr(
-        sessions, "enter", lambda connection: counts.append(descriptors()) or enter(connection)
+        client_connections, "admit", lambda connection: counts.append(descriptors()) or enter(connection)
     )
     second = [plain.create_connection(rig.listen) for _ in range(90)]
     until(lambda: len(counts) >= 90)
     used = max(counts) - before - len(first) - len(second)
     for each in (*first, *second):
         each.close()
-    assert used <= sessions.cap + sessions.most_parting + 1
+    assert used <= client_connections.cap + client_connections.max_half_closed + 1
 
 
 @pytest.mark.parametrize("descriptor_limit", [128, 608, 1024])
@@ -424,7 +424,7 @@
     is evicted. When the sockets of all idle connections were polled each time, a hundred took up to 163 ms of
     CPU time with 608 descriptors and 375 ms with 1,024."""
     clients, _ = connection_limits(descriptor_limit)
-    sessions = Sessions(clients, MAX_HALF_CLOSED, unix_clock())
+    client_connections = ClientConnections(clients, MAX_HALF_CLOSED, unix_clock())
     facade = SimpleNamespace(clock=unix_clock(), leave=None)
     peers = []
 
@@ -436,14 +436,14 @@
         return connection
 
     for _ in range(clients):
-        sessions.enter(idle_connection())
+        client_connections.admit(idle_connection())
     burst = [idle_connection() for _ in range(MAX_ACCEPTS_PER_ITERATION)]
     before = thread_time()
     for connection in burst:
-        assert sessions.enter(connection)
+        assert client_connections.admit(connection)
     cpu_s = thread_time() - before
     print(f"{descriptor_limit} descriptors: {cpu_s * 1000:.1f} ms")
-    for connection in (*sessions.held, *sessions.parting):
+    for connection in (*client_connections.active, *client_connections.half_closed):
         connection.close("test")
     for peer in peers:
         peer.close()
@@ -453,17 +453,17 @@
 def test_closed_connections_release_their_buffers_and_objects(rig) -> None:
     rig.engine("e")
     rig.start()
-    until(lambda: len(rig.gateway.sessions) == 1)
+    until(lambda: len(rig.gateway.client_connections) == 1)
 
     def connect_and_close(count: int) -> None:
         links = [plain.create_connection(rig.listen) for _ in range(count)]
         for each in links:
             each.sendall(PING % 1 + b'{"half')
-        until(lambda: sum(each.line_received for each in rig.gateway.sessions.held) >= count)
+        until(lambda: sum(each.line_received for each in rig.gateway.client_connections.active) >= count)
         gevent.sleep(0.03)  # until each reader waits for input
         for each in links:
             each.close()
-        until(lambda: len(rig.gateway.sessions) == 1)
+        until(lambda: len(rig.gateway.client_connections) == 1)
         gevent.sleep(0.02)
 
     for count in (40, 40, 20):
@@ -541,7 +541,7 @@
     rig.start()
     rig.call(1, "load", key="first")
     rig.returned(1)
-    (connection,) = rig.gateway.sessions.held
+    (connection,) = rig.gateway.client_connections.active
     client = socket.create_connection(rig.listen)
     facade = rig.gateway.facade
     waiting = []
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -118,7 +118,7 @@
     rig.start()
     rig.call(1, "look", patience=1400)
     until(lambda: rig.engines["e"].posted)
-    (slow,) = rig.gateway.sessions.held
+    (slow,) = rig.gateway.client_connections.active
     with slow.write_lock:
         rig.say(id=2, method="none")
         gevent.sleep(0.05)
@@ -343,13 +343,16 @@
     rig.sockets(64)
     rig.engine("e")
     rig.start()
-    cap = rig.gateway.sessions.cap
+    cap = rig.gateway.client_connections.cap
     client = socket.create_connection(rig.listen)
     client.sendall(line(1))
     until(
-        lambda: any(each.batches_received and not each.answer_greenlets for each in rig.gateway.sessions.held)
+        lambda: any(
+            each.batches_received and not each.answer_greenlets
+            for each in rig.gateway.client_connections.active
+        )
     )
-    connection = next(each for each in rig.gateway.sessions.held if each.batches_received)
+    connection = next(each for each in rig.gateway.client_connections.active if each.batches_received)
     connection.last_active_us = 0  # idle for longest
     safe_to_close = type(connection).safe_to_close
 
@@ -374,12 +377,12 @@
     rig.sockets(64)
     rig.engine("e")
     rig.start()
-    cap = rig.gateway.sessions.cap
+    cap = rig.gateway.client_connections.cap
     others = [socket.create_connection(rig.listen) for _ in range(3 * cap)]
-    sessions = rig.gateway.sessions
-    until(lambda: len(sessions) <= cap + sessions.most_parting)
-    assert len(sessions) <= cap + sessions.most_parting
-    until(lambda: len(sessions) <= 1, 5)
+    client_connections = rig.gateway.client_connections
+    until(lambda: len(client_connections) <= cap + client_connections.max_half_closed)
+    assert len(client_connections) <= cap + client_connections.max_half_closed
+    until(lambda: len(client_connections) <= 1, 5)
     for each in others:
         each.close()
 
@@ -391,12 +394,14 @@
     rig.sockets(64)
     rig.engine("e")
     rig.start()
-    sessions, most = rig.gateway.sessions, []
-    enter, before = sessions.enter, descriptors()
-    monkeypatch.setattr(sessions, "enter", lambda connection: most.append(descriptors()) or enter(connection))
+    client_connections, most = rig.gateway.client_connections, []
+    enter, before = client_connections.admit, descriptors()
+    monkeypatch.setattr(
+        client_connections, "admit", lambda connection: most.append(descriptors()) or enter(connection)
+    )
     crowd = [plain.create_connection(rig.listen) for _ in range(90)]  # all there before one is accepted
     until(lambda: len(most) >= 90)
-    assert max(most) - before - len(crowd) <= sessions.cap + sessions.most_parting + 1
+    assert max(most) - before - len(crowd) <= client_connections.cap + client_connections.max_half_closed + 1
     for each in crowd:
         each.close()
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -351,7 +351,7 @@
     rig.call(1, "look")
     kept = [rig.stranger(b'{"jsonrpc":"2.0","id":1,"method":"ping"}\n') for _ in range(200)]
     assert all(b"healthy" in link.recv(200) for link in kept)
-    assert len(rig.gateway.sessions.held) <= connection_limits(rig.limit)[0]
+    assert len(rig.gateway.client_connections.active) <= connection_limits(rig.limit)[0]
     rig.returned(1)
 
 
@@ -559,7 +559,7 @@
     rig.start()
     rig.call(1, "load", key="first")
     rig.returned(1)
-    (slow,) = rig.gateway.sessions.held
+    (slow,) = rig.gateway.client_connections.active
     with slow.write_lock:
         rig.call(2, "load", key="k", patience=3000)
         gevent.sleep(0.2)
