--- a/pathturn/change/conductor.py
+++ b/pathturn/change/conductor.py
@@ -77,7 +77,7 @@
         if not number:
             first = self._checked(through(reading(parse(document.read_bytes()))))
             number = self.ledger.first(canonical(first))
-        self.router.update_engines(self.facade.roster.engine_entries)
+        self.router.update_engines(self.facade.engine_registry.engine_entries)
         table = RoutingTable(number, self.ledger.document(number), self.facade.groups)
         through(self.router.compile(table))
         self.router.activate(table)
--- a/pathturn/memory/batches.py
+++ b/pathturn/memory/batches.py
@@ -6,7 +6,7 @@
 
 from gevent.queue import SimpleQueue
 
-from pathturn.memory.roster import Place
+from pathturn.memory.engine_registry import Endpoint
 
 
 class End:
@@ -90,10 +90,10 @@
     given another priority.
     """
 
-    __slots__ = ("batch", "number", "place", "until_us", "sent_us", "called_back", "stop", "rerank")
+    __slots__ = ("batch", "number", "endpoint", "until_us", "sent_us", "called_back", "stop", "rerank")
 
-    def __init__(self, batch: Batch, place: Place, now_us: int, until_us: int) -> None:
-        self.batch, self.number, self.place = batch, batch.sent, place
+    def __init__(self, batch: Batch, endpoint: Endpoint, now_us: int, until_us: int) -> None:
+        self.batch, self.number, self.endpoint = batch, batch.sent, endpoint
         self.sent_us = now_us
         self.until_us = until_us
         self.called_back = False
@@ -103,7 +103,7 @@
     @property
     def engine(self) -> int:
         """Index of the engine."""
-        return self.place[0]
+        return self.endpoint[0]
 
     def call_back(self) -> None:
         """Cancel the dispatch, once: a second kill would interrupt the greenlet while it forwards the first
--- a/pathturn/memory/connection_pool.py
+++ b/pathturn/memory/connection_pool.py
@@ -7,7 +7,7 @@
 import gevent
 from gevent.lock import BoundedSemaphore
 
-from pathturn.memory.roster import Place
+from pathturn.memory.engine_registry import Endpoint
 from pathturn.wire.engine_connection import ConnectTimeoutError, EngineConnection
 
 # Idle connections are closed after half the engines' own idle timeout, so that no request is sent on a
@@ -24,27 +24,27 @@
         engine_idle_timeout_us: int,
         connect_timeout_us: int,
         clock: Callable[[], int],
-        connect: Callable[[Place, float], EngineConnection],
+        connect: Callable[[Endpoint, float], EngineConnection],
         log: Callable[[str], None],
     ) -> None:
         self.slots = BoundedSemaphore(cap)
         self.clock, self.connect, self.log = clock, connect, log
         self.idle_timeout_us = engine_idle_timeout_us // IDLE_TIMEOUT_DIVISOR
         self.connect_timeout_s = connect_timeout_us / 1e6
-        self.idle: dict[Place, list[EngineConnection]] = defaultdict(list)
+        self.idle: dict[Endpoint, list[EngineConnection]] = defaultdict(list)
         self.waiters = 0
         # Connections whose attempt timed out while they were still being established, at most one for an
         # endpoint, each with the greenlet that waits for it. One that succeeds later serves the next attempt.
-        self.pending_connections: dict[Place, gevent.Greenlet] = {}
-        self.identical_response_endpoints: set[Place] = set()
+        self.pending_connections: dict[Endpoint, gevent.Greenlet] = {}
+        self.identical_response_endpoints: set[Endpoint] = set()
 
-    def acquire(self, place: Place, new: bool = False) -> EngineConnection:
+    def acquire(self, endpoint: Endpoint, new: bool = False) -> EngineConnection:
         """Return an idle connection to the endpoint, or a new one; `new` rules out idle ones."""
-        idle = self.idle[place]
+        idle = self.idle[endpoint]
         # Where responses are identical, a late duplicate of an earlier response could be mistaken for the
         # next one, so the connection idle for longest is used: what it carried is too long ago for that.
         # Elsewhere the last used one is taken, so that surplus connections reach their idle timeout.
-        longest_idle_first = place in self.identical_response_endpoints
+        longest_idle_first = endpoint in self.identical_response_endpoints
         while idle and not new:
             connection = idle.pop(0 if longest_idle_first else -1)
             if connection.is_usable():
@@ -52,7 +52,7 @@
             self.discard(connection, "engine_closed")
         self._acquire_slot()
         try:
-            return self.connect(place, self.connect_timeout_s)
+            return self.connect(endpoint, self.connect_timeout_s)
         except ConnectTimeoutError as timeout:
             self._await_pending_connection(timeout.connection)
             raise
@@ -60,25 +60,25 @@
             self.slots.release()
             raise
 
-    def expect_identical_responses(self, place: Place) -> None:
+    def expect_identical_responses(self, endpoint: Endpoint) -> None:
         """Note that an endpoint gives the same response to more than one request."""
-        self.identical_response_endpoints.add(place)
+        self.identical_response_endpoints.add(endpoint)
 
     def _await_pending_connection(self, connection: EngineConnection) -> None:
         """Wait for a connection to be established, for as long as an idle one is kept; give up earlier if
         its slot is needed or its engine is removed."""
-        if connection.place in self.pending_connections:
+        if connection.endpoint in self.pending_connections:
             self.discard(connection, "connect_timeout")
             return
         self.log(f"engine {connection.host} code=connect_late")
-        waiter = self.pending_connections[connection.place] = gevent.spawn(
+        waiter = self.pending_connections[connection.endpoint] = gevent.spawn(
             connection.wait_established, self.idle_timeout_us / 1e6
         )
         # A link also runs if the waiter is killed before it starts.
         waiter.link(partial(self._finish_pending_connection, connection))
 
     def _finish_pending_connection(self, connection: EngineConnection, waiter: gevent.Greenlet) -> None:
-        del self.pending_connections[connection.place]
+        del self.pending_connections[connection.endpoint]
         if waiter.value is True:
             self.release(connection)
         else:
@@ -90,25 +90,25 @@
             self.discard(connection, code)
             return
         connection.idle_since_us = self.clock()
-        self.idle[connection.place].append(connection)
+        self.idle[connection.endpoint].append(connection)
 
     def prune(self) -> None:
         """Close the connections whose idle timeout has expired."""
         oldest_us = self.clock() - self.idle_timeout_us
-        for place, idle in list(self.idle.items()):
+        for endpoint, idle in list(self.idle.items()):
             while idle and idle[0].idle_since_us <= oldest_us:
                 self.discard(idle.pop(0), "idle")
             if not idle:
-                del self.idle[place]  # else the dict would grow without bound as engines are replaced
+                del self.idle[endpoint]  # else the dict would grow without bound as engines are replaced
 
-    def retain(self, places: set[Place]) -> None:
+    def retain(self, endpoints: set[Endpoint]) -> None:
         """Close idle connections to all other endpoints: their addresses may be reused by new engines."""
-        self.identical_response_endpoints &= places
-        for place in self.idle.keys() - places:
-            for connection in self.idle.pop(place):
+        self.identical_response_endpoints &= endpoints
+        for endpoint in self.idle.keys() - endpoints:
+            for connection in self.idle.pop(endpoint):
                 self.discard(connection, "engine_gone")
-        for place in self.pending_connections.keys() - places:
-            self.pending_connections[place].kill(block=False)
+        for endpoint in self.pending_connections.keys() - endpoints:
+            self.pending_connections[endpoint].kill(block=False)
 
     def _acquire_slot(self) -> None:
         """Take a slot under the connection limit; if none is free, free one and wait in turn. Waiting is no
--- a/pathturn/memory/roster.py
+++ b/pathturn/memory/engine_registry.py
@@ -5,23 +5,23 @@
 from pathturn.core.interface import READY, EngineEntry
 
 # Engine index and address. The index tells a new engine from a removed one that had the same address.
-Place = tuple[int, tuple[str, int]]
+Endpoint = tuple[int, tuple[str, int]]
 
 
-class Roster:
+class EngineRegistry:
     """Maps engine ids to indices and indices to endpoints."""
 
     def __init__(self) -> None:
         self.indices = count()
         self.index_of = {}
-        self.place: dict[int, Place] = {}
+        self.endpoint_of: dict[int, Endpoint] = {}
         self.ready: set[int] = set()
         self.entries: list[tuple] = []
 
     @property
-    def places(self) -> set[Place]:
+    def endpoints(self) -> set[Endpoint]:
         """Endpoints of all listed engines."""
-        return set(self.place.values())
+        return set(self.endpoint_of.values())
 
     @property
     def engine_entries(self) -> list[EngineEntry]:
@@ -37,12 +37,12 @@
         Nothing is kept of removed engines, as new ids appear indefinitely; an engine that returns under its
         old id is a new engine.
         """
-        rows, index_of, place, ready, self.entries = [], {}, {}, set(), entries
+        rows, index_of, endpoint_of, ready, self.entries = [], {}, {}, set(), entries
         for identity, address, zone, machine, cell, state, size, started_ms in entries:
             index = self.index_of[identity] if identity in self.index_of else next(self.indices)
-            index_of[identity], place[index] = index, (index, address)
+            index_of[identity], endpoint_of[index] = index, (index, address)
             if state == READY:
                 ready.add(index)
             rows.append((index, zone, machine, cell, state, size, started_ms * 1000))
-        self.index_of, self.place, self.ready = index_of, place, ready
+        self.index_of, self.endpoint_of, self.ready = index_of, endpoint_of, ready
         return rows
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -18,8 +18,8 @@
 
 from pathturn.core import interface as names
 from pathturn.memory.batches import Batch, Dispatch, End, OpenBatches, Source
+from pathturn.memory.engine_registry import EngineRegistry
 from pathturn.memory.overdue import OverdueBatches
-from pathturn.memory.roster import Roster
 
 if TYPE_CHECKING:  # routing is imported at run time only if enabled: plain serve has no routes
     from pathturn.routing.router import BatchAttributes, Router
@@ -53,7 +53,7 @@
         self.answers_report_cost = answers_report_cost
         self.log_line = log
         self.batches = OpenBatches()
-        self.roster = Roster()
+        self.engine_registry = EngineRegistry()
         self.overdue = OverdueBatches()
         self.events: list[tuple] = []
         self.first_source_of_key: dict[str, object] = {}
@@ -182,7 +182,7 @@
     ) -> None:
         """Route batches by the router's tables from now on, and call `watch` when a batch ends."""
         self.router, self.make_attributes, self.watch = router, make_attributes, watch
-        router.update_engines(self.roster.engine_entries)
+        router.update_engines(self.engine_registry.engine_entries)
 
     def take_back(self, generation: int) -> int:
         """Route a generation's batches that have not been dispatched by the present one; return how many.
@@ -211,7 +211,7 @@
         """
         if (source := dispatch.batch.source) is not None and not dispatch.batch.over:
             source.read_pending_input()
-        if dispatch.batch.over or dispatch.engine not in self.roster.ready:
+        if dispatch.batch.over or dispatch.engine not in self.engine_registry.ready:
             return False
         return self.dispatcher.may_start(dispatch.batch.index, self.clock())
 
@@ -259,14 +259,14 @@
 
     def named(self, dispatch: Dispatch) -> bool:
         """Return whether the dispatch's engine is still listed."""
-        return dispatch.engine in self.roster.place
+        return dispatch.engine in self.engine_registry.endpoint_of
 
     # Called for discovery.
     def listing(self, form: int, entries: list[tuple]) -> None:
         """Replace the list of engines, or record that it could not be had."""
-        rows = [] if form == names.LIST_UNAVAILABLE else self.roster.update(entries)
+        rows = [] if form == names.LIST_UNAVAILABLE else self.engine_registry.update(entries)
         if self.router is not None and form != names.LIST_UNAVAILABLE:
-            self.router.update_engines(self.roster.engine_entries)
+            self.router.update_engines(self.engine_registry.engine_entries)
         self._add_event("engine_list", form, rows)
 
     # Called by the process: start, stop and rounds.
@@ -342,7 +342,7 @@
     def dispatch(self, batch: int, engine: int, time_limit_us: int) -> None:
         open_batch = self.batches.by_index[batch]
         now = self.clock()
-        dispatch = Dispatch(open_batch, self.roster.place[engine], now, now + time_limit_us)
+        dispatch = Dispatch(open_batch, self.engine_registry.endpoint_of[engine], now, now + time_limit_us)
         open_batch.out[open_batch.sent] = dispatch
         open_batch.sent += 1
         open_batch.steps.put(dispatch)
--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -77,8 +77,8 @@
             limits.get("idleCloseUs") or DEFAULT_ENGINE_IDLE_TIMEOUT_US,
             limits.get("dialTimeoutUs") or DEFAULT_CONNECT_TIMEOUT_US,
             self.clock,
-            lambda place, connect_timeout_s: EngineConnection(
-                place, connect_timeout_s, self.buffers, self.log
+            lambda endpoint, connect_timeout_s: EngineConnection(
+                endpoint, connect_timeout_s, self.buffers, self.log
             ),
             self.log,
         )
@@ -99,7 +99,7 @@
             self.facade,
             settings.get("discovery") == "ask",
             serial,
-            lambda: self.connection_pool.retain(self.facade.roster.places),
+            lambda: self.connection_pool.retain(self.facade.engine_registry.endpoints),
             self.log,
         )
         self.operator: Operator | None = None
--- a/pathturn/process/operator.py
+++ b/pathturn/process/operator.py
@@ -48,7 +48,7 @@
         """Return what a routing document is validated against."""
         return ValidationContext(
             self.facade.groups,
-            tuple(self.facade.roster.engine_entries),
+            tuple(self.facade.engine_registry.engine_entries),
             self.retry_share,
             self.max_open_batches,
         )
--- a/pathturn/wire/dispatch_executor.py
+++ b/pathturn/wire/dispatch_executor.py
@@ -151,7 +151,7 @@
         batch = exchange.dispatch.batch
         while not self.facade.follows(dispatch):
             gevent.sleep(ORDER_POLL_S)
-        exchange.connection = self.connection_pool.acquire(dispatch.place)
+        exchange.connection = self.connection_pool.acquire(dispatch.endpoint)
         if not self.facade.stands(dispatch):
             exchange.release_connection()
             self._report(exchange, names.UNSENT)
@@ -228,7 +228,7 @@
         exchange = Exchange(dispatch, self.connection_pool)
         try:
             with gevent.Timeout(self.connection_pool.connect_timeout_s, DispatchTimeoutError):
-                exchange.connection = self.connection_pool.acquire(dispatch.place, new_connection)
+                exchange.connection = self.connection_pool.acquire(dispatch.endpoint, new_connection)
                 status = exchange.connection.call_control(
                     request(exchange.connection.host, dispatch.batch.ticket), exchange.response_timeout_s
                 )
--- a/pathturn/wire/engine_connection.py
+++ b/pathturn/wire/engine_connection.py
@@ -11,7 +11,7 @@
 from gevent.socket import wait_write
 
 from pathturn.memory.buffers import BufferPool
-from pathturn.memory.roster import Place
+from pathturn.memory.engine_registry import Endpoint
 from pathturn.wire import engine_protocol
 from pathturn.wire.engine_protocol import ResultFingerprint
 from pathturn.wire.http import MalformedResponseError, ResponseParser
@@ -88,9 +88,9 @@
     """A connection to an engine. Logs its number of requests and a reason code when it is closed."""
 
     def __init__(
-        self, place: Place, connect_timeout_s: float, buffers: BufferPool, log: Callable[[str], None]
+        self, endpoint: Endpoint, connect_timeout_s: float, buffers: BufferPool, log: Callable[[str], None]
     ) -> None:
-        _, address = self.place = place
+        _, address = self.endpoint = endpoint
         self.host = f"{address[0]}:{address[1]}"
         self.buffers = buffers
         self.log = log
--- a/pathturn/wire/exchange.py
+++ b/pathturn/wire/exchange.py
@@ -133,7 +133,7 @@
                 if self.connection is None:
                     # Backoff: an engine that was just restarted resets many connections at once.
                     gevent.sleep(RETRY_BACKOFF_S * 2**tries)
-                    self.connection = self.connection_pool.acquire(self.dispatch.place, new=True)
+                    self.connection = self.connection_pool.acquire(self.dispatch.endpoint, new=True)
                 return self._call_once(
                     engine_protocol.page_request(self.connection.host, self.dispatch.batch.ticket, number),
                     check,
@@ -184,7 +184,7 @@
         connection, suspected_fingerprint = self.suspected
         self.suspected = None
         if fingerprint == suspected_fingerprint:
-            self.connection_pool.expect_identical_responses(connection.place)
+            self.connection_pool.expect_identical_responses(connection.endpoint)
             self.connection_pool.release(connection)
         else:
             self.connection_pool.discard(connection, "lost_duplicate")
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -465,7 +465,7 @@
     until(lambda: dials)
     ((name, dial),) = dials.items()
     rig.change(name, "draining")
-    until(lambda: len(rig.gateway.facade.roster.ready) == 1)
+    until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1)
     dial.go.set()
     rig.returned(1)
     rig.asked(name, "POST", 0)
@@ -505,7 +505,7 @@
     rig.engine("e", "rows:2")
     rig.serial += 1
     place = rig.engines["e"].server.address
-    until(lambda: {each[1] for each in rig.gateway.facade.roster.place.values()} == {place})
+    until(lambda: {each[1] for each in rig.gateway.facade.engine_registry.endpoint_of.values()} == {place})
     rig.call(2, "pay")
     rig.returned(2, 2)
     assert len(old.posts()) == 1
@@ -531,7 +531,7 @@
     until(lambda: len(asked) >= 2)
     rig.change("e", "draining")
     until(lambda: lost)
-    heard = until(lambda: len(rig.gateway.facade.roster.ready) == 1)
+    heard = until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1)
     assert heard - lost[0] < QUERY_INTERVAL_S + CALLED_BACK_S
 
 
@@ -542,7 +542,7 @@
     monkeypatch.setattr(rig, "directory", lambda *told: gevent.sleep(0.4) or answer(*told))
     rig.start()
     rig.change("e", "draining")
-    until(lambda: len(rig.gateway.facade.roster.ready) == 1, 2)
+    until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1, 2)
 
 
 def test_an_older_list_that_overtakes_a_newer_one_brings_nothing_back(rig, monkeypatch) -> None:
@@ -569,9 +569,9 @@
     rig.start()
     until(lambda: "held" in old)
     rig.change("e", "draining")
-    until(lambda: len(rig.gateway.facade.roster.ready) == 1, 2)
+    until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1, 2)
     gevent.sleep(0.2)
-    assert len(rig.gateway.facade.roster.ready) == 1
+    assert len(rig.gateway.facade.engine_registry.ready) == 1
 
 
 # One customer's settings for another's.
--- a/tests/test_engine_edges.py
+++ b/tests/test_engine_edges.py
@@ -443,10 +443,10 @@
     held = Held(lambda: None)
     acquire = connection_pool.acquire
 
-    def held_acquire(place, new=False):
-        if batch.is_retry_engine(place[1]):
+    def held_acquire(endpoint, new=False):
+        if batch.is_retry_engine(endpoint[1]):
             held()
-        return acquire(place, new)
+        return acquire(endpoint, new)
 
     monkeypatch.setattr(connection_pool, "acquire", held_acquire)
     return held
@@ -458,11 +458,11 @@
     held = Held(lambda: None)
     acquire = connection_pool.acquire
 
-    def held_acquire(place, new=False):
-        if batch.is_retry_engine(place[1]) and not held.came.is_set():
+    def held_acquire(endpoint, new=False):
+        if batch.is_retry_engine(endpoint[1]) and not held.came.is_set():
             held.came.set()
             time.sleep(max(0, batch.started_at() + 1.05 * RETRY_WINDOW_S - monotonic()))
-        return acquire(place, new)
+        return acquire(endpoint, new)
 
     monkeypatch.setattr(connection_pool, "acquire", held_acquire)
     return held
@@ -614,7 +614,9 @@
         gevent.sleep(max(0, began + 1.5 - monotonic()))
         accepted = full_backlog.accepted()
         kept = [
-            connection for connection in idle_connections(rig) if connection.place[1] == full_backlog.address
+            connection
+            for connection in idle_connections(rig)
+            if connection.endpoint[1] == full_backlog.address
         ]
         assert len(accepted) == len(kept) == 1, "one is kept, and no other left open"
         until(lambda: descriptors() <= before - len(full_backlog.fillers) + len(idle_connections(rig)) * 2)
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -161,8 +161,8 @@
     retire_reason = None
     host = "127.0.0.1:1"
 
-    def __init__(self, place) -> None:
-        self.place = place
+    def __init__(self, endpoint) -> None:
+        self.endpoint = endpoint
         self.established = Event()
         self.closed_with = None
 
@@ -184,16 +184,16 @@
     """A pool of at most two connections, none established in time, and the list of those opened."""
     opened = []
 
-    def connect(place, timeout_s):
-        opened.append(PendingConnection(place))
+    def connect(endpoint, timeout_s):
+        opened.append(PendingConnection(endpoint))
         raise ConnectTimeoutError(TimeoutError(), opened[-1])
 
     return ConnectionPool(2, 2_000_000, 250_000, unix_clock, connect, lambda text: None), opened
 
 
-def acquire_pending(pool, place) -> None:
+def acquire_pending(pool, endpoint) -> None:
     with pytest.raises(ConnectTimeoutError):
-        pool.acquire(place)
+        pool.acquire(endpoint)
 
 
 def test_one_pending_connection_is_kept_for_each_endpoint(pool_of_pending_connections) -> None:
@@ -218,8 +218,8 @@
 
 def test_pending_connections_are_discarded_at_the_connection_limit(pool_of_pending_connections) -> None:
     pool, opened = pool_of_pending_connections
-    for place in ENDPOINTS:
-        acquire_pending(pool, place)
+    for endpoint in ENDPOINTS:
+        acquire_pending(pool, endpoint)
     with gevent.Timeout(1):
         acquire_pending(pool, (2, ("127.0.0.1", 3)))
     assert [connection.closed_with for connection in opened] == ["connect_timeout", None, None]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -281,10 +281,10 @@
     )
     rig.start()
     for _ in range(300):
-        if len(rig.gateway.facade.roster.ready) == 300:
+        if len(rig.gateway.facade.engine_registry.ready) == 300:
             break
         gevent.sleep(0.01)
-    assert len(rig.gateway.facade.roster.place) == 600
+    assert len(rig.gateway.facade.engine_registry.endpoint_of) == 600
     assert "code=malformed_response reason=KeyError" in capfd.readouterr().err
 
 
@@ -604,8 +604,13 @@
         rig.gateway.facade,
         rig.gateway.connection_pool,
     )
-    assert len(dispatcher.engines) == len(facade.roster.place) == len(facade.roster.index_of) == 1
-    assert [place[0] for place in connection_pool.idle] == list(dispatcher.engines) == [5]
+    assert (
+        len(dispatcher.engines)
+        == len(facade.engine_registry.endpoint_of)
+        == len(facade.engine_registry.index_of)
+        == 1
+    )
+    assert [endpoint[0] for endpoint in connection_pool.idle] == list(dispatcher.engines) == [5]
     assert (
         not dispatcher.key_queues.queues
         and not facade.batches.tickets
