--- a/pathturn/change/conductor.py
+++ b/pathturn/change/conductor.py
@@ -233,7 +233,7 @@
         now, told = self.clock(), batch.attributes
         ended = _ended(batch, end, now, self.facade.groups[batch.group])
         self.lately.add(now, told, ended)
-        if self.guard is None or batch.taken_us < self.began_us:
+        if self.guard is None or batch.received_us < self.began_us:
             return
         kind = routing_differs(self.router.current, self.table, told)
         served = batch.destination.generation == self.change.generation
@@ -356,7 +356,7 @@
 
 
 def _ended(batch: Batch, end: End, now: int, group: names.ServiceGroup) -> Ended:
-    took, how = now - batch.taken_us, end.how or "given_up"
+    took, how = now - batch.received_us, end.outcome or "given_up"
     late = how != names.RETURNED or took > batch.response_goal_us
     worth = 0.0 if how != names.RETURNED else group.late_utility if late else 1.0
     return Ended(batch.group, how, late, took, min(1.0, worth))
--- a/pathturn/memory/batches.py
+++ b/pathturn/memory/batches.py
@@ -10,12 +10,12 @@
 
 
 class End:
-    """How a batch ended; `how` is None if the client no longer waits for an answer."""
+    """How a batch ended; `outcome` is None if the client no longer waits for an answer."""
 
-    __slots__ = ("how", "retry_us", "rows")
+    __slots__ = ("outcome", "retry_us", "rows")
 
-    def __init__(self, how: str | None, retry_us: int = 0, rows: bytes = b"") -> None:
-        self.how, self.retry_us, self.rows = how, retry_us, rows
+    def __init__(self, outcome: str | None, retry_us: int = 0, rows: bytes = b"") -> None:
+        self.outcome, self.retry_us, self.rows = outcome, retry_us, rows
 
 
 class Source(Protocol):
@@ -35,18 +35,18 @@
         "nonce",
         "key",
         "statement",
-        "until_us",
+        "deadline_us",
         "steps",
-        "over",
-        "sent",
-        "out",
+        "ended",
+        "dispatch_count",
+        "in_flight",
         "priority",
         "grant_mb",
         "attributes",
         "destination",
-        "taken_us",
+        "received_us",
         "response_goal_us",
-        "watch",
+        "on_end",
     )
 
     def __init__(
@@ -58,60 +58,69 @@
         nonce: str | None,
         key: str | None,
         statement: bytes,
-        until_us: int,
+        deadline_us: int,
     ) -> None:
         self.source = source
         self.index, self.ticket, self.group, self.nonce, self.key = index, ticket, group, nonce, key
         self.statement = statement
-        self.until_us = until_us
+        self.deadline_us = deadline_us
         self.steps: SimpleQueue = SimpleQueue()
-        self.over = False
-        self.sent = 0
+        self.ended = False
+        self.dispatch_count = 0
         self.priority = 1
         self.grant_mb = 0.0
-        self.out: dict[int, Dispatch] = {}
+        self.in_flight: dict[int, Dispatch] = {}
         # Set only with a routing document: what routes match, the destination, and the callback for the end.
-        self.attributes = self.destination = self.watch = None
-        self.taken_us = self.response_goal_us = 0
+        self.attributes = self.destination = self.on_end = None
+        self.received_us = self.response_goal_us = 0
 
     def end(self, end: End) -> None:
         """Set the batch's final outcome; calls after the first have no effect."""
-        if not self.over:
-            self.over = True
+        if not self.ended:
+            self.ended = True
             self.steps.put(end)
-            if self.watch is not None:
-                self.watch(self, end)
+            if self.on_end is not None:
+                self.on_end(self, end)
 
 
 class Dispatch:
     """One dispatch of a batch to an engine.
 
-    The greenlet that runs it sets `stop` and `rerank` for as long as it can be cancelled or
+    The greenlet that runs it sets `on_cancel` and `on_priority_change` for as long as it can be cancelled or
     given another priority.
     """
 
-    __slots__ = ("batch", "number", "endpoint", "until_us", "sent_us", "called_back", "stop", "rerank")
+    __slots__ = (
+        "batch",
+        "number",
+        "endpoint",
+        "deadline_us",
+        "sent_us",
+        "cancelled",
+        "on_cancel",
+        "on_priority_change",
+    )
 
-    def __init__(self, batch: Batch, endpoint: Endpoint, now_us: int, until_us: int) -> None:
-        self.batch, self.number, self.endpoint = batch, batch.sent, endpoint
+    def __init__(self, batch: Batch, endpoint: Endpoint, now_us: int, deadline_us: int) -> None:
+        self.batch, self.number, self.endpoint = batch, batch.dispatch_count, endpoint
         self.sent_us = now_us
-        self.until_us = until_us
-        self.called_back = False
-        self.stop: Callable[[], None] | None = None
-        self.rerank: Callable[[int], None] | None = None
+        self.deadline_us = deadline_us
+        self.cancelled = False
+        self.on_cancel: Callable[[], None] | None = None
+        self.on_priority_change: Callable[[int], None] | None = None
 
     @property
     def engine(self) -> int:
         """Index of the engine."""
         return self.endpoint[0]
 
-    def call_back(self) -> None:
+    def cancel(self) -> None:
         """Cancel the dispatch, once: a second kill would interrupt the greenlet while it forwards the first
         one to the engine."""
-        stop = None if self.called_back else self.stop
-        self.called_back = True
-        if stop is not None:
-            stop()
+        on_cancel = None if self.cancelled else self.on_cancel
+        self.cancelled = True
+        if on_cancel is not None:
+            on_cancel()
 
 
 class OpenBatches:
@@ -130,17 +139,17 @@
         nonce: str | None,
         key: str | None,
         statement: bytes,
-        until_us: int,
+        deadline_us: int,
     ) -> Batch:
         """Register a new batch under the next index."""
-        batch = Batch(next(self.indices), source, ticket, group, nonce, key, statement, until_us)
+        batch = Batch(next(self.indices), source, ticket, group, nonce, key, statement, deadline_us)
         self.by_index[batch.index] = batch
         self.tickets.add(ticket)
         return batch
 
     def remove_if_finished(self, batch: Batch) -> None:
         """Remove a batch once it has ended and each of its dispatches has its outcome."""
-        if batch.over and not batch.out and self.by_index.pop(batch.index, None) is not None:
+        if batch.ended and not batch.in_flight and self.by_index.pop(batch.index, None) is not None:
             self.tickets.discard(batch.ticket)
 
     def __len__(self) -> int:
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -103,14 +103,14 @@
         statement: bytes,
     ) -> Batch:
         """Open a batch, and queue its event for the next round."""
-        until_us = self.clock() + left_us - self._read_delay_us()
-        batch = self.batches.open(source, ticket, group, nonce, key, statement, until_us)
+        deadline_us = self.clock() + left_us - self._read_delay_us()
+        batch = self.batches.open(source, ticket, group, nonce, key, statement, deadline_us)
         if self.router is not None:
             batch.attributes = self.make_attributes(group, customer, key, data_set, ticket)
             batch.destination = self.router.destination(batch.attributes)
-            batch.taken_us = self.clock()
+            batch.received_us = self.clock()
             batch.response_goal_us = _response_goal_us(self.groups[group], work_us)
-            batch.watch = self.watch
+            batch.on_end = self.watch
         self._add_event(
             "batch_received",
             batch.index,
@@ -140,7 +140,7 @@
         The wait ends soon after the deadline even if a fault lost the batch's events: the client gets an
         answer all the same.
         """
-        left_us = max(0, batch.until_us + OVERDUE_US - self.clock())
+        left_us = max(0, batch.deadline_us + OVERDUE_US - self.clock())
         try:
             return batch.steps.get(timeout=left_us / 1e6)
         except Empty:
@@ -168,7 +168,7 @@
 
     def leave(self, batch: Batch) -> None:
         """Withdraw a batch whose client no longer waits for it."""
-        if not batch.over:
+        if not batch.ended:
             self._add_event("batch_withdrawn", batch.index)
             batch.end(End(None))
             self.batches.remove_if_finished(batch)
@@ -194,8 +194,8 @@
             for batch in self.batches.by_index.values()
             if batch.destination is not None
             and batch.destination.generation == generation
-            and not batch.sent
-            and not batch.over
+            and not batch.dispatch_count
+            and not batch.ended
         ]
         for batch in moved:
             batch.destination = self.router.destination(batch.attributes)
@@ -209,9 +209,9 @@
         Its engine may be draining or its batch aborted by now. Called immediately before the first byte is
         sent; what the client has sent until then is read first.
         """
-        if (source := dispatch.batch.source) is not None and not dispatch.batch.over:
+        if (source := dispatch.batch.source) is not None and not dispatch.batch.ended:
             source.read_pending_input()
-        if dispatch.batch.over or dispatch.engine not in self.engine_registry.ready:
+        if dispatch.batch.ended or dispatch.engine not in self.engine_registry.ready:
             return False
         return self.dispatcher.may_start(dispatch.batch.index, self.clock())
 
@@ -231,7 +231,7 @@
     ) -> None:
         """Record the outcome of a dispatch, exactly once for each; the first returned rows end the batch."""
         batch = dispatch.batch
-        del batch.out[dispatch.number]
+        del batch.in_flight[dispatch.number]
         if outcome == names.RETURNED:
             batch.end(End(names.RETURNED, rows=rows))
         cost_known = outcome == names.RETURNED and self.answers_report_cost
@@ -242,7 +242,7 @@
             dispatch.engine,
             outcome,
             max(0, ended_us - dispatch.sent_us),
-            batch.over,
+            batch.ended,
             work_us if cost_known else 0,
             memory_mb if cost_known else 0,
             meter,
@@ -336,28 +336,28 @@
         """Update the time left in a new batch's event: it was computed when the batch was read."""
         if event[0] != "batch_received" or event[1] not in self.batches.by_index:
             return event
-        return (*event[:5], max(0, self.batches.by_index[event[1]].until_us - now), *event[6:])
+        return (*event[:5], max(0, self.batches.by_index[event[1]].deadline_us - now), *event[6:])
 
     # Called by the decision module during a round, as its writer.
     def dispatch(self, batch: int, engine: int, time_limit_us: int) -> None:
         open_batch = self.batches.by_index[batch]
         now = self.clock()
         dispatch = Dispatch(open_batch, self.engine_registry.endpoint_of[engine], now, now + time_limit_us)
-        open_batch.out[open_batch.sent] = dispatch
-        open_batch.sent += 1
+        open_batch.in_flight[open_batch.dispatch_count] = dispatch
+        open_batch.dispatch_count += 1
         open_batch.steps.put(dispatch)
 
     def set_resources(self, batch: int, priority: int, grant_mb: float) -> None:
         open_batch = self.batches.by_index[batch]
         open_batch.priority, open_batch.grant_mb = priority, grant_mb
-        for dispatch in open_batch.out.values():
-            if dispatch.rerank is not None:
-                dispatch.rerank(priority)
+        for dispatch in open_batch.in_flight.values():
+            if dispatch.on_priority_change is not None:
+                dispatch.on_priority_change(priority)
 
     def cancel(self, batch: int, dispatch: int) -> None:
         open_batch = self.batches.by_index.get(batch)
-        if open_batch is not None and dispatch in open_batch.out:
-            open_batch.out[dispatch].call_back()
+        if open_batch is not None and dispatch in open_batch.in_flight:
+            open_batch.in_flight[dispatch].cancel()
 
     def push_back(self, batch: int, retry_us: int) -> None:
         self._end(batch, End("pushed_back", retry_us))
--- a/pathturn/memory/overdue.py
+++ b/pathturn/memory/overdue.py
@@ -22,7 +22,7 @@
 
     def after_round(self) -> list[Batch]:
         """Count a round for each batch; return those that have not ended within their last one."""
-        remaining = {batch: left - 1 for batch, left in self.rounds_left.items() if not batch.over}
+        remaining = {batch: left - 1 for batch, left in self.rounds_left.items() if not batch.ended}
         self.rounds_left = {batch: left for batch, left in remaining.items() if left}
         return [batch for batch, left in remaining.items() if not left]
 
--- a/pathturn/wire/clients.py
+++ b/pathturn/wire/clients.py
@@ -375,9 +375,9 @@
             self._write_answer(request_id, step)
 
     def _write_answer(self, request_id: Any, end: End) -> None:
-        if end.how == names.RETURNED:
+        if end.outcome == names.RETURNED:
             self._write(jsonrpc.returned(request_id, end.rows))
-        elif end.how == names.ERRORED:
+        elif end.outcome == names.ERRORED:
             self._write(jsonrpc.errored(request_id))
-        elif end.how is not None:
+        elif end.outcome is not None:
             self._write(jsonrpc.pushed_back(request_id, end.retry_us))
--- a/pathturn/wire/dispatch_executor.py
+++ b/pathturn/wire/dispatch_executor.py
@@ -55,13 +55,13 @@
         exchange = Exchange(dispatch, self.connection_pool)
         greenlet = gevent.getcurrent()
         if (
-            dispatch.called_back or dispatch.batch.over
+            dispatch.cancelled or dispatch.batch.ended
         ):  # it was cancelled, or its batch ended, before it could start
             self._report(exchange, names.UNSENT)
             return
         # Set no earlier: a greenlet that is killed before it first runs would never report an outcome.
-        dispatch.stop = lambda: greenlet.kill(DispatchCancelledError, block=False)
-        dispatch.rerank = lambda priority: gevent.spawn(self._change_priority, dispatch, priority)
+        dispatch.on_cancel = lambda: greenlet.kill(DispatchCancelledError, block=False)
+        dispatch.on_priority_change = lambda priority: gevent.spawn(self._change_priority, dispatch, priority)
         try:
             with gevent.Timeout(self._remaining_s(dispatch), DispatchTimeoutError):
                 self._run_query(exchange)
@@ -87,7 +87,7 @@
         """Finish a dispatch whose query may still run. Its termination is awaited in a new greenlet: the
         present one could be killed meanwhile and would not report the outcome."""
         dispatch = exchange.dispatch
-        dispatch.stop = dispatch.rerank = None
+        dispatch.on_cancel = dispatch.on_priority_change = None
         if not exchange.started:
             exchange.close_connection(exchange.close_code)
             self._report(exchange, names.UNSENT)
@@ -143,7 +143,7 @@
         )
 
     def _remaining_s(self, dispatch: Dispatch) -> float:
-        return max(0, dispatch.until_us - self.clock()) / 1e6
+        return max(0, dispatch.deadline_us - self.clock()) / 1e6
 
     def _run_query(self, exchange: Exchange) -> None:
         """Start the query, poll it until it ends, fetch its result, and report the outcome."""
@@ -162,7 +162,7 @@
                 exchange.connection.host,
                 batch.ticket,
                 batch.group,
-                dispatch.until_us - self.clock(),
+                dispatch.deadline_us - self.clock(),
                 batch.nonce,
                 batch.grant_mb,
                 batch.priority,
@@ -201,7 +201,7 @@
         rows: bytes = b"",
     ) -> None:
         reported = fields or {}
-        exchange.dispatch.stop = exchange.dispatch.rerank = None
+        exchange.dispatch.on_cancel = exchange.dispatch.on_priority_change = None
         self.facade.report(
             exchange.dispatch,
             outcome,
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -125,7 +125,7 @@
     for number in range(6):
         site.crowd.callers[1].send("look", 1400, data_set=3, customer=f"f{number}")
     gevent.sleep(0.5)
-    held = [batch for batch in site.gateway.facade.batches.by_index.values() if not batch.sent]
+    held = [batch for batch in site.gateway.facade.batches.by_index.values() if not batch.dispatch_count]
     assert len(held) == 9 and {batch.destination.generation for batch in held} == {2}
     undone = site.conductor.undo("c", "me", "enough")
     assert undone.state == "undone" and "enough" in undone.reason
