--- a/pathturn/change/conductor.py
+++ b/pathturn/change/conductor.py
@@ -81,7 +81,7 @@
         table = RoutingTable(number, self.ledger.document(number), self.facade.groups)
         through(self.router.compile(table))
         self.router.activate(table)
-        self.facade.follow(self.router, batch_attributes, self.ended)
+        self.facade.use_router(self.router, batch_attributes, self.ended)
         self.log(f"generation {number} code=in_force routes={len(table.targets)} pools={len(table.pools)}")
 
     def _checked(self, document: Document) -> Document:
@@ -293,7 +293,7 @@
             self.log(f"change {undone.id} code=undo_unwritten fault={fault}")
         # One turn of the loop: no round and no batch between the tables and what goes back to them.
         self.router.activate(self.router.current)
-        moved = self.facade.take_back(undone.generation)
+        moved = self.facade.reroute_unsent(undone.generation)
         self._over(self.table)
         self.undo_us = self.clock() - asked
         self.log(f"change {undone.id} code=taken_back batches={moved} us={self.undo_us}")
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -1,7 +1,7 @@
 """Blocking interface to the decision module.
 
-The greenlet of a batch calls `pick` to learn where to send it or how to end it, the greenlet
-of a dispatch passes its outcome to `report`, and a single greenlet runs `tick` for all
+The greenlet of a batch calls `next_step` to learn where to send it or how to end it, the greenlet
+of a dispatch passes its outcome to `report_outcome`, and a single greenlet runs `run_round` for all
 events received since the last round. The module's events, actions and indices are translated here; no
 decision is taken here.
 """
@@ -62,17 +62,17 @@
         self.last_heartbeat_us = clock()
         self.last_stall_us = 0
         self.last_stall_length_us = 0
-        self.came = Event()
-        self.wake_at = inf
+        self.work_available = Event()
+        self.wake_at_us = inf
         self.round_started_us = 0
-        self.follows_list = Event()
+        self.list_subscribed = Event()
         self.router: Router | None = None
         self.make_attributes: Callable[..., BatchAttributes] | None = None
-        self.watch: Callable[[Batch, End], None] | None = None
+        self.on_batch_end: Callable[[Batch, End], None] | None = None
 
     def _add_event(self, *event: Any) -> None:
         self.events.append(event)
-        self.came.set()
+        self.work_available.set()
 
     # Called for clients.
     def group(self, name: str) -> names.ServiceGroup | None:
@@ -87,7 +87,7 @@
         """Return whether a batch with this ticket is open."""
         return ticket in self.batches.tickets
 
-    def take(
+    def submit(
         self,
         source: Source | None,
         ticket: str,
@@ -110,7 +110,7 @@
             batch.destination = self.router.destination(batch.attributes)
             batch.received_us = self.clock()
             batch.response_goal_us = _response_goal_us(self.groups[group], work_us)
-            batch.on_end = self.watch
+            batch.on_end = self.on_batch_end
         self._add_event(
             "batch_received",
             batch.index,
@@ -134,7 +134,7 @@
             self._add_event("order_ambiguous", batch.index)
         return batch
 
-    def pick(self, batch: Batch) -> Dispatch | End:
+    def next_step(self, batch: Batch) -> Dispatch | End:
         """Wait for the batch's next dispatch or its end.
 
         The wait ends soon after the deadline even if a fault lost the batch's events: the client gets an
@@ -145,11 +145,11 @@
             return batch.steps.get(timeout=left_us / 1e6)
         except Empty:
             self.overdue.add(batch)
-            self.came.set()
+            self.work_available.set()
             return batch.steps.get()
 
     @contextmanager
-    def answering(self, batch: Batch) -> Iterator[None]:
+    def writing_answer(self, batch: Batch) -> Iterator[None]:
         """Mark a batch's answer as being written.
 
         For the decision module the batch has ended by then, and the next one of its key may go; for the
@@ -162,11 +162,11 @@
         finally:
             self.unwritten_answers -= Counter((batch.key,))
 
-    def follows(self, dispatch: Dispatch) -> bool:
+    def predecessors_answered(self, dispatch: Dispatch) -> bool:
         """Return whether the answers to all earlier batches of the dispatch's key have been written."""
         return dispatch.batch.key not in self.unwritten_answers
 
-    def leave(self, batch: Batch) -> None:
+    def withdraw(self, batch: Batch) -> None:
         """Withdraw a batch whose client no longer waits for it."""
         if not batch.ended:
             self._add_event("batch_withdrawn", batch.index)
@@ -174,17 +174,17 @@
             self.batches.remove_if_finished(batch)
 
     # Called for the operator.
-    def follow(
+    def use_router(
         self,
         router: "Router",
         make_attributes: Callable[..., "BatchAttributes"],
-        watch: Callable[[Batch, End], None],
+        on_batch_end: Callable[[Batch, End], None],
     ) -> None:
-        """Route batches by the router's tables from now on, and call `watch` when a batch ends."""
-        self.router, self.make_attributes, self.watch = router, make_attributes, watch
+        """Route batches by the router's tables from now on, and call `on_batch_end` when a batch ends."""
+        self.router, self.make_attributes, self.on_batch_end = router, make_attributes, on_batch_end
         router.update_engines(self.engine_registry.engine_entries)
 
-    def take_back(self, generation: int) -> int:
+    def reroute_unsent(self, generation: int) -> int:
         """Route a generation's batches that have not been dispatched by the present one; return how many.
 
         Called without a switch of greenlets after the change of tables, so that no round runs in between.
@@ -203,7 +203,7 @@
         return len(moved)
 
     # Called for engines.
-    def stands(self, dispatch: Dispatch) -> bool:
+    def may_start(self, dispatch: Dispatch) -> bool:
         """Return whether a dispatch that waited for a connection may still start.
 
         Its engine may be draining or its batch aborted by now. Called immediately before the first byte is
@@ -215,11 +215,11 @@
             return False
         return self.dispatcher.may_start(dispatch.batch.index, self.clock())
 
-    def note(self, dispatch: Dispatch, kind: int, level: float) -> None:
+    def report_notice(self, dispatch: Dispatch, kind: int, level: float) -> None:
         """Pass on an engine's notice about a running dispatch."""
         self._add_event("engine_notice", dispatch.batch.index, dispatch.engine, kind, level, dispatch.number)
 
-    def report(
+    def report_outcome(
         self,
         dispatch: Dispatch,
         outcome: str,
@@ -249,7 +249,7 @@
         )
         self.batches.remove_if_finished(batch)
 
-    def unproven(self, dispatch: Dispatch) -> Callable[[], None]:
+    def mark_unresolved(self, dispatch: Dispatch) -> Callable[[], None]:
         """Mark a dispatch, before its outcome is reported, as possibly still running on its engine.
 
         Its key is blocked meanwhile. Returns the function to call once the execution has surely ended.
@@ -257,12 +257,12 @@
         self._add_event("execution_unresolved", dispatch.batch.key)
         return partial(self._add_event, "execution_ended", dispatch.batch.key)
 
-    def named(self, dispatch: Dispatch) -> bool:
+    def is_listed(self, dispatch: Dispatch) -> bool:
         """Return whether the dispatch's engine is still listed."""
         return dispatch.engine in self.engine_registry.endpoint_of
 
     # Called for discovery.
-    def listing(self, form: int, entries: list[tuple]) -> None:
+    def update_engines(self, form: int, entries: list[tuple]) -> None:
         """Replace the list of engines, or record that it could not be had."""
         rows = [] if form == names.LIST_UNAVAILABLE else self.engine_registry.update(entries)
         if self.router is not None and form != names.LIST_UNAVAILABLE:
@@ -274,7 +274,7 @@
         """Tell the decision module that the process ends after `left_us` at the latest."""
         self._add_event("shutdown", left_us)
 
-    def beat(self) -> None:
+    def heartbeat(self) -> None:
         """Note that the event loop runs; called every few milliseconds. A longer gap is a stall of the whole
         process."""
         now = self.clock()
@@ -301,22 +301,22 @@
         stall may run only after it is read."""
         return self._read_delay_us() > 0
 
-    def wait(self) -> None:
+    def wait_for_work(self) -> None:
         """Wait for an event, or for the time at which the decision module asked to be woken."""
-        if not self.came.is_set():
-            left_s = None if self.wake_at == inf else max(0, self.wake_at - self.clock()) / 1e6
-            self.came.wait(left_s)
-        self.came.clear()
+        if not self.work_available.is_set():
+            left_s = None if self.wake_at_us == inf else max(0, self.wake_at_us - self.clock()) / 1e6
+            self.work_available.wait(left_s)
+        self.work_available.clear()
 
-    def tick(self) -> None:
+    def run_round(self) -> None:
         """Run a round of the decision module on all events received since the last one."""
         now = self.clock()
         events, self.events = [self._with_time_left(now, event) for event in self.events], []
         if not self._stalled():
             self.first_source_of_key.clear()
         self.round_started_us = now
-        if now >= self.wake_at:
-            self.wake_at = inf
+        if now >= self.wake_at_us:
+            self.wake_at_us = inf
             events.append(("timer_fired", 0))
         try:
             self.dispatcher.round(now, events, self)
@@ -330,7 +330,7 @@
             batch.end(End(names.ERRORED))
             self.batches.remove_if_finished(batch)
         if self.overdue:
-            self.came.set()
+            self.work_available.set()
 
     def _with_time_left(self, now: int, event: tuple) -> tuple:
         """Update the time left in a new batch's event: it was computed when the batch was read."""
@@ -374,10 +374,10 @@
         # Counted from the round's start, as the module does. Counted from now it would come later than the
         # module recorded: a round in between would find that time past and ask for another wake-up, which
         # would be lost behind the first one.
-        self.wake_at = min(self.wake_at, self.round_started_us + delay_us)
+        self.wake_at_us = min(self.wake_at_us, self.round_started_us + delay_us)
 
     def subscribe(self, on: bool) -> None:
-        (self.follows_list.set if on else self.follows_list.clear)()
+        (self.list_subscribed.set if on else self.list_subscribed.clear)()
 
     def probe(self, engine: int) -> None:
         """Do nothing: the protocol has no probes, so to the module each one seems lost."""
--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -93,7 +93,7 @@
         self.stop_requested = Event()
         self.greenlets = Group()
         serial, rows = discovery_protocol.parse_initial_list(config["known"])
-        self.facade.listing(names.LIST_CACHED, rows)
+        self.facade.update_engines(names.LIST_CACHED, rows)
         self.directory_address = discovery_protocol.parse_address(config["names"])
         self.discovery_client = DiscoveryClient(
             self.facade,
@@ -149,14 +149,14 @@
     def _round_loop(self) -> None:
         """Run one round for all events that arrive within the round interval of the settings."""
         while True:
-            self.facade.wait()
+            self.facade.wait_for_work()
             # After a stall the event loop runs its timers before it reads the sockets. A round run at once
             # would miss the engines' responses and treat every engine as silent. The second sleep lets the
             # greenlets that were woken to read finish first.
             gevent.sleep(self.round_interval_s)
             gevent.sleep(0)
             try:
-                self.facade.tick()
+                self.facade.run_round()
             except Exception:  # noqa: BLE001 - the other batches must be answered whatever went wrong
                 self.log("round failed: " + traceback.format_exc().replace("\n", " | "))
 
@@ -181,7 +181,7 @@
 
     def _heartbeat_loop(self) -> None:
         while True:
-            self.facade.beat()
+            self.facade.heartbeat()
             gevent.sleep(HEARTBEAT_INTERVAL_S)
 
     def _prune_loop(self) -> None:
--- a/pathturn/wire/clients.py
+++ b/pathturn/wire/clients.py
@@ -117,7 +117,7 @@
             return self.code or f"lost_{type(error).__name__}"
         finally:
             for batch in list(self.open_batches.values()):
-                self.facade.leave(batch)
+                self.facade.withdraw(batch)
             self._close_socket()
 
     def close(self, code: str) -> None:
@@ -299,7 +299,7 @@
         and are used once; a client may skip the ids of requests that it decided not to send. Two open
         requests with one id can't be told apart by their answers: both are ended, with one error."""
         if (clash := self.open_batches.get(request_id)) is not None:
-            self.facade.leave(clash)
+            self.facade.withdraw(clash)
             self.open_batches.pop(request_id)
             self.reject(request_id, jsonrpc.INVALID_REQUEST)
             return False
@@ -320,7 +320,7 @@
 
     def abort(self, request_id: Any) -> None:
         if type(request_id) is int and (batch := self.open_batches.get(request_id)) is not None:
-            self.facade.leave(batch)
+            self.facade.withdraw(batch)
 
     def open_batch(
         self,
@@ -346,7 +346,7 @@
             return
         if key is not None and self.facade.group(group).ordered_by_key:
             left_us = min(left_us, max(MIN_TIME_LEFT_US, left_us - self.facade.key_queue_drain_us(group)))
-        batch = self.facade.take(
+        batch = self.facade.submit(
             self,
             ticket,
             group,
@@ -366,12 +366,12 @@
 
     def _serve_batch(self, request_id: Any, batch: Batch) -> None:
         """Send the dispatches of a batch until it ends, then write its answer."""
-        while isinstance(step := self.facade.pick(batch), Dispatch):
+        while isinstance(step := self.facade.next_step(batch), Dispatch):
             self.send(step)
         if self.open_batches.get(request_id) is batch:
             del self.open_batches[request_id]
         self.last_active_us = self.facade.clock()
-        with self.facade.answering(batch):
+        with self.facade.writing_answer(batch):
             self._write_answer(request_id, step)
 
     def _write_answer(self, request_id: Any, end: End) -> None:
--- a/pathturn/wire/discovery_client.py
+++ b/pathturn/wire/discovery_client.py
@@ -62,11 +62,11 @@
     def _poll(self, address: tuple[str, int]) -> None:
         while True:
             if self.on_demand:
-                self.facade.follows_list.wait()
+                self.facade.list_subscribed.wait()
             query = self.queries.spawn(self._query, address)
             if self.on_demand and not query.get():
-                self.facade.follows_list.clear()
-                self.facade.listing(names.LIST_UNAVAILABLE, [])
+                self.facade.list_subscribed.clear()
+                self.facade.update_engines(names.LIST_UNAVAILABLE, [])
             gevent.sleep(QUERY_INTERVAL_S)
 
     def _query(self, address: tuple[str, int]) -> bool:
@@ -107,6 +107,6 @@
             self.last_response = packet[2:]
         if rows is not None:
             self.last_serial = serial
-            self.facade.listing(names.LIST_SNAPSHOT, rows)
+            self.facade.update_engines(names.LIST_SNAPSHOT, rows)
             self.changed()
         return True
--- a/pathturn/wire/dispatch_executor.py
+++ b/pathturn/wire/dispatch_executor.py
@@ -94,7 +94,7 @@
         elif not self.allow_concurrent and (dispatch.batch.key is not None or outcome != names.TIMED_OUT):
             gevent.spawn(self._report_after_termination, exchange, outcome)
         else:
-            on_resolved = self.facade.unproven(dispatch) if dispatch.batch.key is not None else None
+            on_resolved = self.facade.mark_unresolved(dispatch) if dispatch.batch.key is not None else None
             self._report(exchange, outcome)
             gevent.spawn(self._terminate, exchange, on_resolved)
 
@@ -133,7 +133,7 @@
             if proof.record(reply, self.clock()):
                 resolved_by = reply.value
                 break
-            if not self.facade.named(dispatch) and self.clock() >= exchange.query_expiry_us:
+            if not self.facade.is_listed(dispatch) and self.clock() >= exchange.query_expiry_us:
                 resolved_by = "engine_removed"
                 break
             gevent.sleep(CONFIRMED_CANCEL_RETRY_S if reply is CancelReply.CONFIRMED else CANCEL_RETRY_S)
@@ -149,10 +149,10 @@
         """Start the query, poll it until it ends, fetch its result, and report the outcome."""
         dispatch = exchange.dispatch
         batch = exchange.dispatch.batch
-        while not self.facade.follows(dispatch):
+        while not self.facade.predecessors_answered(dispatch):
             gevent.sleep(ORDER_POLL_S)
         exchange.connection = self.connection_pool.acquire(dispatch.endpoint)
-        if not self.facade.stands(dispatch):
+        if not self.facade.may_start(dispatch):
             exchange.release_connection()
             self._report(exchange, names.UNSENT)
             return
@@ -171,7 +171,7 @@
         )
         while status == 202:
             if (notice := engine_protocol.notice(fields)) is not None:
-                self.facade.note(dispatch, *notice)
+                self.facade.report_notice(dispatch, *notice)
             pages, (status, fields, body) = exchange.poll()
         ended_us = self.clock()
         outcome = engine_protocol.outcome(status, fields)
@@ -202,7 +202,7 @@
     ) -> None:
         reported = fields or {}
         exchange.dispatch.on_cancel = exchange.dispatch.on_priority_change = None
-        self.facade.report(
+        self.facade.report_outcome(
             exchange.dispatch,
             outcome,
             ended_us or self.clock(),
--- a/tests/test_client_edges.py
+++ b/tests/test_client_edges.py
@@ -425,7 +425,7 @@
     CPU time with 608 descriptors and 375 ms with 1,024."""
     clients, _ = connection_limits(descriptor_limit)
     client_connections = ClientConnections(clients, MAX_HALF_CLOSED, unix_clock())
-    facade = SimpleNamespace(clock=unix_clock(), leave=None)
+    facade = SimpleNamespace(clock=unix_clock(), withdraw=None)
     peers = []
 
     def idle_connection() -> ClientConnection:
@@ -520,14 +520,14 @@
     client.sendall(request_with_key(2, "k"))
     facade = rig.gateway.facade
     until(lambda: len(facade.batches) == 2)
-    report = facade.report
+    report = facade.report_outcome
     closed = []
 
     def report_then_close(*args):
         report(*args)
         closed.append(client.close())
 
-    facade.report = report_then_close
+    facade.report_outcome = report_then_close
     rig.returned(1)
     until(lambda: not len(facade.batches))
     gevent.sleep(HEARD_S)
@@ -545,8 +545,10 @@
     client = socket.create_connection(rig.listen)
     facade = rig.gateway.facade
     waiting = []
-    follows = facade.follows
-    facade.follows = lambda dispatch: follows(dispatch) or waiting.append(dispatch)
+    predecessors_answered = facade.predecessors_answered
+    facade.predecessors_answered = lambda dispatch: predecessors_answered(dispatch) or waiting.append(
+        dispatch
+    )
     with connection.write_lock:
         rig.call(2, "load", key="k", patience=5000)
         until(lambda: len(rig.engines["e"].posted) == 2)
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -176,7 +176,7 @@
     def leave_at_once(batch, engine, time_limit_us):
         decide(batch, engine, time_limit_us)
         decided.append(batch)
-        facade.leave(facade.batches.by_index[batch])
+        facade.withdraw(facade.batches.by_index[batch])
 
     monkeypatch.setattr(facade, "dispatch", leave_at_once)
     rig.call(1, "look")
--- a/tests/test_engine_edges.py
+++ b/tests/test_engine_edges.py
@@ -407,8 +407,8 @@
         # Shared: whichever gets the first start resets it, the other one would serve the retry.
         rig.engines["e"].words = rig.engines["f"].words = ["reset", "rows:2"]
         rig.start()
-        self.report = rig.gateway.facade.report
-        rig.gateway.facade.report = self.record_outcome
+        self.report = rig.gateway.facade.report_outcome
+        rig.gateway.facade.report_outcome = self.record_outcome
 
     def record_outcome(self, dispatch, outcome, *details):
         self.outcomes.append(outcome)
@@ -595,8 +595,8 @@
     full_backlog = rig.straits["e"] = FullBacklog()
     rig.start()
     outcomes = []
-    report = rig.gateway.facade.report
-    rig.gateway.facade.report = lambda dispatch, outcome, *details: (
+    report = rig.gateway.facade.report_outcome
+    rig.gateway.facade.report_outcome = lambda dispatch, outcome, *details: (
         outcomes.append(outcome),
         report(dispatch, outcome, *details),
     )
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -37,7 +37,7 @@
 
     def stall(self, link, piece) -> None:
         facade, self.facade = self.facade, None
-        facade.came.set()
+        facade.work_available.set()
         gevent.sleep(0)
         gevent.sleep(0)
         link.sendall(piece)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -424,12 +424,12 @@
 def test_a_wake_is_not_lost_behind_one_that_a_round_took_time_to_ask_for(early_us) -> None:
     clock = itertools.count(1_000_000, 1_500).__next__  # as on a part of a core: each look costs time
     facade = Facade(*build_dispatcher(1, farm.settings()), clock, True, print)
-    batch = facade.take(None, "0" * 16, "look", 300_000, None, None, None, 0, 0, 1, False, b"")
+    batch = facade.submit(None, "0" * 16, "look", 300_000, None, None, None, 0, 0, 1, False, b"")
     while not batch.ended:
-        facade.tick()
-        assert batch.ended or facade.wake_at < inf, "nobody wakes the module for what it holds"
+        facade.run_round()
+        assert batch.ended or facade.wake_at_us < inf, "nobody wakes the module for what it holds"
         # Whatever comes in may start a round a little before the wake that was asked for.
-        while clock() < facade.wake_at - early_us and not batch.ended:
+        while clock() < facade.wake_at_us - early_us and not batch.ended:
             pass
     assert clock() < batch.deadline_us
 
