--- a/pathturn/core/choice.py
+++ b/pathturn/core/choice.py
@@ -772,7 +772,7 @@
         self.key_queues.unresolved[key] += 1
 
     def execution_ended(self, key) -> None:
-        """Unblock a key after its quiet period."""
+        """Start the quiet period of a key; it is unblocked if no other execution of it is unresolved."""
         self.key_queues.unresolved -= Counter((key,))  # also removes keys whose count is zero
         self.key_queues.quiet_until_us[key] = self.now + self.key_queues.quiet_us
         if key in self.key_queues.queues:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The design's parts by themselves, and what a front must not be told."""
+"""Parts of the decision module by themselves, and the input checks of the adapter."""
 
 import io
 
@@ -11,38 +11,38 @@
 from pathturn.structures.sliding_window import SlidingWindowSum
 
 
-def test_ring_reuses_its_buckets_and_brackets_the_span() -> None:
-    ring = SlidingWindowSum(1000, 10)
+def test_sliding_window_reuses_buckets_and_brackets_the_window() -> None:
+    window_sum = SlidingWindowSum(1000, 10)
     for now in range(0, 5000, 50):
-        ring.add(now, 1)
-    assert ring.sums(4950)[0] >= 20 >= ring.sums(4950, within=True)[0] > 0
-    assert ring.sums(99_000)[0] == 0
+        window_sum.add(now, 1)
+    assert window_sum.sums(4950)[0] >= 20 >= window_sum.sums(4950, within=True)[0] > 0
+    assert window_sum.sums(99_000)[0] == 0
 
 
-def test_line_follows_load_but_never_gains_from_it() -> None:
+def test_latency_fit_follows_load_but_its_slope_is_never_negative() -> None:
     rising = [5, 10, 20, 30, 60]
     assert fit_latency(rising, [0] * 5) == (pytest.approx(0), pytest.approx(2))
     assert fit_latency([5, 10, 20, 30, 35], [0] * 5)[1] == 0
     assert fit_latency([0] * 5, rising) == (pytest.approx(0), pytest.approx(2))
 
 
-def test_split_leaves_a_loaded_engine_but_stops_where_response_rises() -> None:
-    def of(lines: list[tuple[float, float]]) -> list[float]:
+def test_shares_move_away_from_a_loaded_engine_until_response_time_rises() -> None:
+    def shares(lines: list[tuple[float, float]]) -> list[float]:
         return solve_shares([8, 8], [2.0, 0.5], lines, [0.5, 0.5], 0.5)
 
-    assert of([(1, 0), (1, 0)]) == [0.5, 0.5]
-    assert of([(1, 1), (1, 1)])[1] > 0.55
-    assert of([(1, 1), (9, 1)]) == [0.5, 0.5]
+    assert shares([(1, 0), (1, 0)]) == [0.5, 0.5]
+    assert shares([(1, 1), (1, 1)])[1] > 0.55
+    assert shares([(1, 1), (9, 1)]) == [0.5, 0.5]
 
 
-def test_load_is_smoothed_by_its_age() -> None:
+def test_load_is_smoothed_by_the_time_between_reports() -> None:
     engine = Engine(0, 1, 0, 0)
     engine.record_load(0, 1.0)
     engine.record_load(3_000_000, 0.0)
     assert engine.load == pytest.approx(0.3679, abs=1e-3)
 
 
-def test_grants_grow_until_few_spill_and_bias_follows_the_median() -> None:
+def test_grants_grow_until_few_dispatches_spill_and_bias_follows_the_median() -> None:
     model = LatencyModel(names.ServiceGroup(10**6, 2.0, 10**7, 1.0, 0.0, names.REPEATABLE), pages=False)
     for number in range(300):
         batch = Batch(number, model, 0, 10**7, 100_000, 10.0)
@@ -52,7 +52,7 @@
     assert 2 < model.work_bias < 3.2
 
 
-def test_adapter_ends_plainly_on_a_malformed_line(capsys) -> None:
+def test_adapter_exits_with_an_error_message_on_a_malformed_line(capsys) -> None:
     sink = io.BytesIO()
     assert serve(io.BytesIO(b'{"tUs":1,"groups":[]}\n{"tUs":2}\n'), sink) == 2
     assert sink.getvalue() == b'{"groups":[]}\n'
@@ -89,10 +89,10 @@
 
 @pytest.mark.parametrize(
     ("latency_us", "attempts"),
-    [pytest.param(250_000, 2, id="not up in time"), pytest.param(900, 1, id="refused")],
+    [pytest.param(250_000, 2, id="timeout"), pytest.param(900, 1, id="refused")],
 )
-def test_adapter_tells_a_refused_connection_from_one_that_did_not_come_up(latency_us, attempts) -> None:
-    """Only the refusal says that the process has gone, so that a new one is still warming up."""
+def test_adapter_distinguishes_a_refused_connection_from_a_connect_timeout(latency_us, attempts) -> None:
+    """Only a refusal means that the process has ended, so that its successor is still warming up."""
     config = {
         "classes": [
             {"name": "q", "promiseUs": 10**6, "deadlineUs": 10**7, "effect": "retryable", "lateValue": 0.5}
@@ -102,7 +102,7 @@
         "rules": {"coldFrom": 0.33, "coldUs": 14_000_000, "fallMultiple": 3.0, "fallUs": 1_000_000},
     }
     codec = Codec()
-    work_us = 4_000_000  # more than a gateway's part of an engine that is warming up
+    work_us = 4_000_000  # more than this gateway may send to an engine that is warming up
 
     def steps(now_us: int, *events: list) -> list:
         reply = codec.line(orjson.dumps({"tUs": now_us, "groups": [{"gateway": 0, "input": list(events)}]}))
