--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -20,7 +20,7 @@
 from pathturn.process.log import Log
 from pathturn.process.settings import build_dispatcher
 from pathturn.wire import discovery_protocol
-from pathturn.wire.clients import ClientConnection
+from pathturn.wire.client_connection import ClientConnection
 from pathturn.wire.discovery_client import DiscoveryClient
 from pathturn.wire.dispatch_executor import DispatchExecutor
 from pathturn.wire.engine_connection import EngineConnection
--- a/pathturn/process/operator.py
+++ b/pathturn/process/operator.py
@@ -16,7 +16,7 @@
 from pathturn.memory.facade import Facade
 from pathturn.process.settings import retry_share
 from pathturn.routing.checks import ValidationContext
-from pathturn.wire.clients import MAX_OPEN_BATCHES
+from pathturn.wire.client_connection import MAX_OPEN_BATCHES
 
 
 class Operator:
--- a/tests/test_client_edges.py
+++ b/tests/test_client_edges.py
@@ -24,7 +24,7 @@
 from pathturn.process.clock import unix_clock
 from pathturn.process.limits import MAX_HALF_CLOSED, MAX_LINE_LIMIT_BYTES, connection_limits
 from pathturn.wire import jsonrpc
-from pathturn.wire.clients import MAX_OPEN_BATCHES, ClientConnection
+from pathturn.wire.client_connection import MAX_OPEN_BATCHES, ClientConnection
 from pathturn.wire.statement import data_set
 
 MAX_ITERATION_CPU_S = 0.05  # CPU time that one event loop iteration may use
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -30,7 +30,7 @@
 from pathturn.standins.engines import MORE, SPOILT
 from pathturn.standins.farm import at
 from pathturn.wire import discovery_protocol, engine_protocol, jsonrpc
-from pathturn.wire.clients import ClientConnection
+from pathturn.wire.client_connection import ClientConnection
 from pathturn.wire.http import MalformedResponseError, ResponseParser
 from pathturn.wire.statement import data_set
 
@@ -379,7 +379,7 @@
 
 
 def test_a_client_that_never_reads_does_not_hold_its_writer(rig, monkeypatch) -> None:
-    monkeypatch.setattr("pathturn.wire.clients.WRITE_TIMEOUT_S", 0.2)
+    monkeypatch.setattr("pathturn.wire.client_connection.WRITE_TIMEOUT_S", 0.2)
     rig.start()
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
