--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -36,7 +36,7 @@
 
 
 class Stage:
-    """Takes a gateway's decisions and remembers what is out, as a front would."""
+    """Records the decisions of a dispatcher and tracks the dispatches in flight, as the gateway does."""
 
     def __init__(self) -> None:
         self.settings = {
