--- a/pathturn/control/server.py
+++ b/pathturn/control/server.py
@@ -52,7 +52,7 @@
             code = str(fault)
             self._last_word(link, code)
         except TimeoutError:
-            code = "half_line" if lines.partial else "idle"
+            code = "partial_line" if lines.partial else "idle"
         except OSError as fault:
             code = f"lost_{type(fault).__name__}"
         finally:
--- a/pathturn/memory/__init__.py
+++ b/pathturn/memory/__init__.py
@@ -1,1 +1,1 @@
-"""In-memory state of a running gateway: open batches, client sessions, engines and connections to them."""
+"""In-memory state of a running gateway: open batches, client connections, engines and connections to them."""
--- a/pathturn/wire/client_connection.py
+++ b/pathturn/wire/client_connection.py
@@ -23,13 +23,13 @@
 MAX_OPEN_BATCHES = 32
 # By the protocol, clients close a connection themselves after 4 s without traffic.
 IDLE_TIMEOUT_S = 5.0
-# By the protocol a client writes the batches of one key 60 ms apart, and the patience of a batch counts from
-# before its turn in that sequence. When a connection ends, or batches are pushed back together, the batches
-# of a key are sent again as such a sequence. The decision module keeps its length (`key_queue_drain_us`)
-# within a fraction of the time limit, and for the last batch of it that much time has passed already. It is
-# subtracted, as the answer would otherwise come when the client has gone. A batch with less patience than
-# that length may have any time left: an answer up to 0.5 s late earns nothing but is not lost, and half of
-# that is kept for the answer to arrive.
+# By the protocol a client writes the batches of one ordering key 60 ms apart, and the patience of a batch
+# counts from before its turn in that sequence. When a connection ends, or batches are pushed back together,
+# the batches of an ordering key are sent again as such a sequence. The decision module keeps its length
+# (`key_queue_drain_us`) within a fraction of the time limit, and for the last batch of it that much time has
+# passed already. It is subtracted, as the answer would otherwise come when the client has gone. A batch with
+# less patience than that length may have any time left: an answer up to 0.5 s late earns nothing but is not
+# lost, and half of that is kept for the answer to arrive.
 MIN_TIME_LEFT_US = 250_000
 # A client that sends no complete line, or does not read, has to be disconnected within 3 s of connecting.
 LINE_TIMEOUT_S = 2.0
--- a/tests/test_client_edges.py
+++ b/tests/test_client_edges.py
@@ -154,14 +154,14 @@
     client, _ = client_with_one_answer(rig)
     client_connections = rig.gateway.client_connections
     codes = []
-    part = client_connections.half_close_all
+    half_close_all = client_connections.half_close_all
 
-    def request_then_part(code):
+    def request_then_half_close(code):
         codes.append(code)
         client.sendall(line(2))
-        part(code)
+        half_close_all(code)
 
-    monkeypatch.setattr(client_connections, "half_close_all", request_then_part)
+    monkeypatch.setattr(client_connections, "half_close_all", request_then_half_close)
     rig.gateway.stop_requested.set()
     assert [each["id"] for each in read_all_answers(client)] == [1]
     gevent.sleep(0.05)
@@ -403,12 +403,12 @@
     client_connections = rig.gateway.client_connections
     counts = []
     before = descriptors()
-    enter = client_connections.admit
+    admit = client_connections.admit
     first = [plain.create_connection(rig.listen) for _ in range(client_connections.cap)]
     until(lambda: len(client_connections.active) == client_connections.cap)
     gevent.sleep(0.05)  # until each reader waits for input
     monkeypatch.setattr(
-        client_connections, "admit", lambda connection: counts.append(descriptors()) or enter(connection)
+        client_connections, "admit", lambda connection: counts.append(descriptors()) or admit(connection)
     )
     second = [plain.create_connection(rig.listen) for _ in range(90)]
     until(lambda: len(counts) >= 90)
@@ -510,8 +510,9 @@
 # Clients that disconnect while their request waits.
 
 
-def test_request_waiting_for_its_key_is_not_started_after_its_client_disconnects(rig) -> None:
-    """The client disconnects in the event loop iteration in which the request before it in the key ends."""
+def test_request_waiting_for_its_ordering_key_is_not_started_after_its_client_disconnects(rig) -> None:
+    """The client disconnects in the event loop iteration in which the preceding request of its ordering key
+    ends."""
     rig.engine("e", "runs:200")
     rig.start()
     rig.call(1, "load", key="k", patience=5000)
@@ -520,11 +521,11 @@
     client.sendall(request_with_key(2, "k"))
     facade = rig.gateway.facade
     until(lambda: len(facade.batches) == 2)
-    report = facade.report_outcome
+    report_outcome = facade.report_outcome
     closed = []
 
     def report_then_close(*args):
-        report(*args)
+        report_outcome(*args)
         closed.append(client.close())
 
     facade.report_outcome = report_then_close
@@ -535,7 +536,7 @@
 
 
 def test_request_waiting_for_the_answer_before_it_is_not_started_after_its_client_disconnects(rig) -> None:
-    """The request is dispatched, but waits until the answer to the one before it in the key has been
+    """The request is dispatched, but waits until the answer to the preceding one of its ordering key has been
     written."""
     rig.engine("e", "rows:1")
     rig.start()
@@ -578,12 +579,12 @@
     client = socket.create_connection(rig.listen)
     client.sendall(line(2))
     until(lambda: rig.gateway.connection_pool.waiters)
-    room = rig.gateway.connection_pool.slots
+    slots = rig.gateway.connection_pool.slots
     closed = []
     if same_iteration:
-        release = room.release
-        rig.gateway.connection_pool.slots = ClosingRoom(
-            room, lambda: closed.append(client.close()) or release()
+        release = slots.release
+        rig.gateway.connection_pool.slots = ClosingSlots(
+            slots, lambda: closed.append(client.close()) or release()
         )
         go.set()
     else:
@@ -597,14 +598,15 @@
     rig.idle()
 
 
-class ClosingRoom:
+class ClosingSlots:
     """The semaphore of the connection pool, with its release replaced: a client disconnects then."""
 
-    def __init__(self, room, release) -> None:
-        self.room, self.release = room, release
+    def __init__(self, slots, release) -> None:
+        self.slots = slots
+        self.release = release
 
     def __getattr__(self, name):
-        return getattr(self.room, name)
+        return getattr(self.slots, name)
 
 
 def test_retry_is_not_started_if_the_client_disconnects_when_it_is_decided(rig) -> None:
