--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -17,7 +17,7 @@
 
 from benchmarks import traffic
 from pathturn.change import states
-from pathturn.change.guard import Guard
+from pathturn.change.canary_analysis import CanaryAnalysis
 from pathturn.change.ledger import Ledger
 from pathturn.change.states import Change
 from pathturn.config.document import ChangePolicy, Document, Match, Pool, Route
@@ -84,12 +84,12 @@
     seed, day, rate, span = case
     chance = Random(seed)
     before = traffic.before(chance, day, rate)
-    judge, plain = Guard(before, POLICY), traffic.Plain(before)
+    judge, plain = CanaryAnalysis(before, POLICY), traffic.Plain(before)
     found: list[float | None] = [None, None]
     look = 1.0
     for at, side, ended in traffic.during(chance, day, POLICY.canary[0].share, rate, span):
         while at >= look:
-            if found[0] is None and judge.harm() is not None:
+            if found[0] is None and judge.worst_harm() is not None:
                 found[0] = look
             if found[1] is None and plain.harm():
                 found[1] = look
@@ -157,26 +157,26 @@
 def _life(book: Ledger) -> list[Callable[[], Any]]:
     document = canonical(Document(1, {"all": Pool()}, "all"))
     first = Change("a", 1, 2, "w", "y", "staged", POLICY, 5)
-    canary = states.begin(first, 6)
-    watched = states.widen(canary, 7)
+    canary = states.start(first, 6)
+    watched = states.advance(canary, 7)
     second = Change("b", 2, 3, "w", "y", "staged", POLICY, 9)
-    tried = states.begin(second, 10)
+    tried = states.start(second, 10)
     return [
-        lambda: book.first(document),
-        lambda: book.staged(first, document),
-        lambda: book.moved(canary),
-        lambda: book.moved(watched),
-        lambda: book.moved(states.keep(watched, 8, "", ())),
-        lambda: book.staged(second, document),
-        lambda: book.moved(tried),
-        lambda: book.moved(states.undo(tried, 11, "harm")),
+        lambda: book.initialize(document),
+        lambda: book.record_staged(first, document),
+        lambda: book.record_step(canary),
+        lambda: book.record_step(watched),
+        lambda: book.record_step(states.keep(watched, 8, "", ())),
+        lambda: book.record_staged(second, document),
+        lambda: book.record_step(tried),
+        lambda: book.record_step(states.roll_back(tried, 11, "harm")),
     ]
 
 
 def _state(book: Ledger) -> dict[str, Any]:
     left = book.open_change()
     return {
-        "present": book.present(),
+        "present": book.current_generation(),
         "open": left and (left.id, left.state),
         "changes": [(each.id, each.state) for each in book.history()],
         "generations": book.generations(),
--- a/benchmarks/change_wire.py
+++ b/benchmarks/change_wire.py
@@ -13,7 +13,7 @@
 import orjson
 
 from benchmarks.change import routes
-from pathturn.change.conductor import Request
+from pathturn.change.manager import ChangeRequest
 from pathturn.config.read import canonical, parse, read, through
 from pathturn.process.gateway import GatewayProcess
 from pathturn.routing.checks import validate_in_slices
@@ -56,11 +56,11 @@
         return round(longest[0] * 1000, 1), round(longest[1] * 1000, 1)
 
 
-def harmful(base: int, name: str) -> Request:
+def harmful(base: int, name: str) -> ChangeRequest:
     """Loads, once-only batches and half of the lookups to an engine that errors some, resets some, and is
     alone."""
     rows = [row | {"to": "bad"} for row in DOCUMENT["routes"]]
-    return Request(name, base, "bench", "harm on purpose", DOCUMENT | {"routes": rows})
+    return ChangeRequest(name, base, "bench", "harm on purpose", DOCUMENT | {"routes": rows})
 
 
 def run(quick: bool) -> dict[str, Any]:
@@ -77,11 +77,11 @@
         gateway.log.muted = True
         gateway.server.start()
         gevent.spawn(gateway.run)
-        conductor, crowd, beat = gateway.operator.conductor, Crowd(address), Beat()
+        change_manager, crowd, beat = gateway.operator.change_manager, Crowd(address), Beat()
         traffic = gevent.spawn(crowd.run, RATE, 600)
         gevent.sleep(4 if quick else 20)
         figures: dict[str, Any] = {"stall_ms_traffic_alone": beat.taken()[0]}
-        figures |= undone(conductor, farm)
+        figures |= undone(change_manager, farm)
         figures |= large(gateway, beat)
         traffic.kill()
         crowd.settle()
@@ -91,22 +91,22 @@
     return figures
 
 
-def undone(conductor: Any, farm: Farm) -> dict[str, Any]:
+def undone(change_manager: Any, farm: Farm) -> dict[str, Any]:
     """A harmful change, and one more that is applied while an engine drains."""
     took, found = [], []
     for turn, name in enumerate(("plain", "draining")):
-        conductor.stage(harmful(conductor.router.current.generation, name))
+        change_manager.stage(harmful(change_manager.router.current.generation, name))
         if turn:
             farm.change("n4", "draining")
             farm.drained_at = monotonic()
         began = monotonic()
-        conductor.apply(name)
-        while conductor.change is not None:
+        change_manager.apply(name)
+        while change_manager.change is not None:
             gevent.sleep(0.05)
         found.append(round(monotonic() - began, 2))
-        took.append(conductor.undo_us / 1000)
+        took.append(change_manager.rollback_us / 1000)
         gevent.sleep(GRACE_S + 0.5 if turn else 0.5)
-    states = [conductor.ledger.change(name).state for name in ("plain", "draining")]
+    states = [change_manager.ledger.find_change(name).state for name in ("plain", "draining")]
     if states != ["undone"] * 2:
         raise AssertionError(f"harm was not undone: {states}")
     return {"undo_ms": round(max(took), 2), "harm_seen_on_wire_s": found}
@@ -142,7 +142,7 @@
 def _staged(gateway: Any, beat: Beat, seed: int) -> tuple[tuple[float, float], float]:
     """The longest gap from the control socket's call until the document is kept, and how long staging
     took."""
-    raw, name, base = _raw(seed), f"large{seed}", gateway.operator.conductor.router.current.generation
+    raw, name, base = _raw(seed), f"large{seed}", gateway.operator.change_manager.router.current.generation
     line = orjson.dumps(
         {
             "jsonrpc": "2.0",
@@ -159,11 +159,11 @@
     staged = monotonic() - began
     if "error" in answer:
         raise AssertionError(answer)
-    gateway.operator.conductor.apply(name)
-    while gateway.operator.conductor.change is not None:
+    gateway.operator.change_manager.apply(name)
+    while gateway.operator.change_manager.change is not None:
         gevent.sleep(0.05)
     gap = beat.taken()
-    if gateway.operator.conductor.router.current.generation == base:
+    if gateway.operator.change_manager.router.current.generation == base:
         raise AssertionError("the large document was not kept")
     return gap, staged
 
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import NamedTuple
 
-from pathturn.change.guard import BESIDE, LEFT, TOUCHED, Before, Ended
+from pathturn.change.canary_analysis import CONTROL, TREATMENT, UNRELATED, Baseline, BatchOutcome
 
 GROUPS = {"lookup": (0.5, 0.02, 20_000), "report": (0.3, 0.05, 400_000), "load": (0.2, 0.03, 150_000)}
 TOUCHED_KIND = 0.7  # of each group's batches are of the kinds that the change touches
@@ -27,20 +27,20 @@
     crash_points: float = 0.0
 
 
-def draw(chance: Random, day: Day, at: float, side: str, group: str) -> Ended:
+def draw(chance: Random, day: Day, at: float, side: str, group: str) -> BatchOutcome:
     _, usual, latency = GROUPS[group]
     crash = day.crash_points if day.crash_at <= at < day.crash_at + CRASH_S else 0.0
     # Both sides feel the crash, though never just alike.
-    crash *= 1.15 if side == TOUCHED else 1.0
-    harmed = side == TOUCHED and group == day.group
+    crash *= 1.15 if side == TREATMENT else 1.0
+    harmed = side == TREATMENT and group == day.group
     roll = chance.random()
     took = int(latency * chance.lognormvariate(0, 0.6))
     if roll < (day.points if harmed else 0.0):
-        return Ended(group, day.sort, True, took * 5, 0.0)
+        return BatchOutcome(group, day.sort, True, took * 5, 0.0)
     if chance.random() < usual + crash:
         how = chance.choice(("errored", "pushed_back", "returned", "given_up"))
-        return Ended(group, how, True, took * 3, 0.2 if how == "returned" else 0.0)
-    return Ended(group, "returned", False, took, 1.0)
+        return BatchOutcome(group, how, True, took * 3, 0.2 if how == "returned" else 0.0)
+    return BatchOutcome(group, "returned", False, took, 1.0)
 
 
 def harmless(chance: Random, span: int) -> Day:
@@ -71,19 +71,19 @@
         yield at, names[bisect(ends, roll())], roll() < TOUCHED_KIND, roll()
 
 
-def before(chance: Random, day: Day, rate: float) -> Before:
-    told, span = Before(), BEFORE_S * min(1.0, 2 * RATE / rate)  # what comes often needs less of a past
+def before(chance: Random, day: Day, rate: float) -> Baseline:
+    told, span = Baseline(), BEFORE_S * min(1.0, 2 * RATE / rate)  # what comes often needs less of a past
     for at, group, touched, _ in arrivals(chance, -span, 0, rate):
-        told.add(int((at + span) * 1e6), touched, draw(chance, day, at, LEFT, group))
-    return told.seal()
+        told.add(int((at + span) * 1e6), touched, draw(chance, day, at, UNRELATED, group))
+    return told.finish()
 
 
 def during(
     chance: Random, day: Day, share: float, rate: float, span: int
-) -> Iterator[tuple[float, str, Ended]]:
+) -> Iterator[tuple[float, str, BatchOutcome]]:
     for at, group, touched, unit in arrivals(chance, 0, CANARY_S + span, rate):
         served = touched and (at >= CANARY_S or unit < share)
-        side = TOUCHED if served else BESIDE if touched else LEFT
+        side = TREATMENT if served else CONTROL if touched else UNRELATED
         yield at, side, draw(chance, day, at, side, group)
 
 
@@ -91,12 +91,12 @@
     """The plain baseline: undoes when the share of late batches over all passes its share before by 5
     points."""
 
-    def __init__(self, told: Before) -> None:
-        rows = list(told.tallies.values())
-        self.usual = sum(row.bad[0] for row in rows) / max(1, sum(row.batches for row in rows))
+    def __init__(self, told: Baseline) -> None:
+        rows = list(told.counts.values())
+        self.usual = sum(row.badness[0] for row in rows) / max(1, sum(row.batches for row in rows))
         self.batches = self.late = 0
 
-    def add(self, side: str, ended: Ended) -> None:
+    def add(self, side: str, ended: BatchOutcome) -> None:
         self.batches += 1
         self.late += ended.late
 
--- a/pathturn/change/guard.py
+++ b/pathturn/change/canary_analysis.py
@@ -34,17 +34,17 @@
 SLOW_HARM = 0.05  # quantiles wander more than shares of failures: so much more of them must be slow
 MOST_SCATTER = 10.0
 # Served by the change; of a kind that it touches, but not served by it; of other kinds.
-TOUCHED, BESIDE, LEFT = "touched", "beside", "left"
+TREATMENT, CONTROL, UNRELATED = "treatment", "control", "unrelated"
 
 
-class Ended(NamedTuple):
+class BatchOutcome(NamedTuple):
     """How one batch ended. `worth`: the part of its utility that was returned, 0 to 1."""
 
     group: str
-    how: str
+    outcome: str
     late: bool
     latency_us: int
-    worth: float
+    utility_share: float
 
 
 class Finding(NamedTuple):
@@ -59,10 +59,10 @@
     bound: float
 
     @property
-    def harm(self) -> bool:
+    def is_harm(self) -> bool:
         return self.score > self.bound
 
-    def weight(self) -> float:
+    def severity(self) -> float:
         return self.score / self.bound
 
     def __str__(self) -> str:
@@ -72,67 +72,69 @@
         )
 
 
-def badness(ended: Ended, slow_us: float) -> list[float]:
+def badness_by_metric(ended: BatchOutcome, slow_us: float) -> list[float]:
     """How badly a batch ended, 0 to 1 by metric."""
-    how = ended.how
+    how = ended.outcome
     return [
         float(ended.late),
         float(how == "errored"),
         float(how == "pushed_back"),
         float(how == "given_up"),
         float(how == "returned" and ended.latency_us > slow_us),
-        1.0 - ended.worth,
+        1.0 - ended.utility_share,
     ]
 
 
-class Tally:
+class OutcomeCounts:
     """Counts of one group on one side, and by slices of the time how many there were and how many late."""
 
-    __slots__ = ("batches", "bad", "slots")
+    __slots__ = ("batches", "badness", "slots")
 
     def __init__(self) -> None:
-        self.batches, self.bad = 0, [0.0] * len(METRICS)
+        self.batches, self.badness = 0, [0.0] * len(METRICS)
         self.slots: dict[int, list[float]] = {}
 
     def count(self, bad: list[float], slot: int | None = None) -> None:
         self.batches += 1
-        self.bad = [have + more for have, more in zip(self.bad, bad)]
+        self.badness = [have + more for have, more in zip(self.badness, bad)]
         if slot is not None:
             row = self.slots.setdefault(slot, [0, 0])
             row[0] += 1
             row[1] += bad[0]
 
     def share(self, metric: int) -> float:
-        return self.bad[metric] / self.batches if self.batches else 0.0
+        return self.badness[metric] / self.batches if self.batches else 0.0
 
 
-class Before:
+class Baseline:
     """What was so before the change, by group, for kinds that it touches (True) and others (False)."""
 
     def __init__(self) -> None:
-        self.tallies: dict[tuple[str, bool], Tally] = defaultdict(Tally)
+        self.counts: dict[tuple[str, bool], OutcomeCounts] = defaultdict(OutcomeCounts)
         self.slow_us: dict[str, float] = {}
         self.scatters: dict[str, float] = {}
-        self.held: dict[str, list[tuple[int, bool, Ended]]] = defaultdict(list)
+        self.held: dict[str, list[tuple[int, bool, BatchOutcome]]] = defaultdict(list)
 
-    def add(self, at_us: int, touched: bool, ended: Ended) -> None:
+    def add(self, at_us: int, touched: bool, ended: BatchOutcome) -> None:
         self.held[ended.group].append((at_us, touched, ended))
 
-    def seal(self) -> "Before":
+    def finish(self) -> "Baseline":
         """Once all are in: the quantile that makes a batch slow needs all of a group."""
-        for _ in self.sealing():
+        for _ in self.finish_in_slices():
             pass
         return self
 
-    def sealing(self) -> Iterator[None]:
+    def finish_in_slices(self) -> Iterator[None]:
         """The same in slices."""
         for group, rows in self.held.items():
-            times = sorted(ended.latency_us for _, _, ended in rows if ended.how == "returned")
+            times = sorted(ended.latency_us for _, _, ended in rows if ended.outcome == "returned")
             self.slow_us[group] = times[int(SLOW * (len(times) - 1))] if len(times) >= 20 else inf
             for turn, (at_us, touched, ended) in enumerate(rows):
                 if turn % SLICE == 0:
                     yield
-                self.tallies[group, touched].count(badness(ended, self.slow_us[group]), at_us // 1_000_000)
+                self.counts[group, touched].count(
+                    badness_by_metric(ended, self.slow_us[group]), at_us // 1_000_000
+                )
             self.scatters[group] = self._scatter(group)
         while self.held:
             _, rows = self.held.popitem()
@@ -140,15 +142,15 @@
                 del rows[-SLICE:]
                 yield
 
-    def of(self, group: str, touched: bool) -> Tally:
-        return self.tallies.get((group, touched)) or Tally()
+    def counts_for(self, group: str, touched: bool) -> OutcomeCounts:
+        return self.counts.get((group, touched)) or OutcomeCounts()
 
-    def scatter(self, group: str) -> float:
+    def overdispersion(self, group: str) -> float:
         return self.scatters.get(group, 1.0)
 
     def _scatter(self, group: str) -> float:
         """By how much seconds differ more than chance alone would have it; 1 for chance."""
-        rows = [row for touched in (True, False) for row in self.of(group, touched).slots.values()]
+        rows = [row for touched in (True, False) for row in self.counts_for(group, touched).slots.values()]
         batches = sum(row[0] for row in rows)
         share = sum(row[1] for row in rows) / batches if batches else 0.0
         if len(rows) < 10 or not 0 < share < 1:
@@ -206,22 +208,22 @@
         return found
 
 
-class Guard:
-    def __init__(self, before: Before, policy: ChangePolicy) -> None:
-        self.before, self.policy = before, policy
+class CanaryAnalysis:
+    def __init__(self, before: Baseline, policy: ChangePolicy) -> None:
+        self.baseline, self.policy = before, policy
         self.slot_us = max(1_000_000, policy.watch // SLOTS)
-        self.touched: dict[str, Tally] = defaultdict(Tally)
-        self.beside: dict[str, Tally] = defaultdict(Tally)
+        self.touched: dict[str, OutcomeCounts] = defaultdict(OutcomeCounts)
+        self.beside: dict[str, OutcomeCounts] = defaultdict(OutcomeCounts)
         self.controls: dict[str | None, Control] = defaultdict(Control)
         self.usual: dict[tuple[str, bool], list[float]] = {}
 
-    def add(self, at_us: int, side: str, ended: Ended) -> None:
-        slow_us, slot = self.before.slow_us.get(ended.group, inf), at_us // self.slot_us
-        bad = badness(ended, slow_us)
-        if side == TOUCHED:
+    def add(self, at_us: int, side: str, ended: BatchOutcome) -> None:
+        slow_us, slot = self.baseline.slow_us.get(ended.group, inf), at_us // self.slot_us
+        bad = badness_by_metric(ended, slow_us)
+        if side == TREATMENT:
             self.touched[ended.group].count(bad, slot)
             return
-        kind = side == BESIDE
+        kind = side == CONTROL
         if kind:
             self.beside[ended.group].count(bad)
         usual = self._usual(ended.group, kind)
@@ -232,8 +234,8 @@
     def _usual(self, group: str, kind: bool) -> list[float] | None:
         """Shares before of what a batch left alone belongs to; too few tell none."""
         if (group, kind) not in self.usual:
-            then = self.before.of(group, kind)
-            then = then if then.batches >= LEAST_CONTROL else self.before.of(group, not kind)
+            then = self.baseline.counts_for(group, kind)
+            then = then if then.batches >= LEAST_CONTROL else self.baseline.counts_for(group, not kind)
             self.usual[group, kind] = (
                 [then.share(metric) for metric in range(len(METRICS))]
                 if then.batches >= LEAST_CONTROL
@@ -241,35 +243,35 @@
             )
         return self.usual[group, kind]
 
-    def groups(self) -> list[str]:
+    def affected_groups(self) -> list[str]:
         """The groups that the change touches, by what came before it and since."""
-        before = {group for (group, kind), tally in self.before.tallies.items() if kind and tally.batches}
+        before = {group for (group, kind), tally in self.baseline.counts.items() if kind and tally.batches}
         return sorted(before | self.touched.keys() | self.beside.keys())
 
     def findings(self) -> list[Finding]:
-        groups = self.groups()
+        groups = self.affected_groups()
         found = [
             self._compare(group, metric, len(groups)) for group in groups for metric in range(len(METRICS))
         ]
         return [each for each in found if each is not None]
 
-    def harm(self) -> Finding | None:
+    def worst_harm(self) -> Finding | None:
         """The worst of what is proven, if anything is."""
-        return max((each for each in self.findings() if each.harm), key=Finding.weight, default=None)
+        return max((each for each in self.findings() if each.is_harm), key=Finding.severity, default=None)
 
-    def unjudged(self) -> list[str]:
+    def unjudged_groups(self) -> list[str]:
         """Groups of which too little came to tell."""
-        groups = self.groups()
+        groups = self.affected_groups()
         return [
             group
             for group in groups
             if self.touched[group].batches < self.policy.least or self._compare(group, 0, len(groups)) is None
         ]
 
-    def _kind(self, group: str) -> Tally:
+    def _kind(self, group: str) -> OutcomeCounts:
         """What stands for the group before the change: its touched kinds, else the whole of it."""
-        own = self.before.of(group, True)
-        return own if own.batches >= LEAST_CONTROL else self.before.of(group, False)
+        own = self.baseline.counts_for(group, True)
+        return own if own.batches >= LEAST_CONTROL else self.baseline.counts_for(group, False)
 
     def _compare(self, group: str, metric: int, groups: int) -> Finding | None:
         touched, kind = self.touched[group], self._kind(group)
@@ -279,7 +281,7 @@
         if moved is None:
             return None
         shift, noise, unlike = moved
-        plain = (kind.bad[metric] + 0.5) / (kind.batches + 1)
+        plain = (kind.badness[metric] + 0.5) / (kind.batches + 1)
         slack = SLOW_HARM if METRICS[metric] == "slow" else self.policy.harm
         expected = min(0.999, max(MOST_RELIEF * plain, plain + shift))
         against = min(0.9995, expected + slack)
@@ -287,7 +289,7 @@
         # What calm elsewhere takes off must not make the variance vanish with it.
         chance = max(expected * (1 - expected), plain * (1 - plain))
         spread = (
-            self.before.scatter(group) * (1 / touched.batches + 1 / kind.batches)
+            self.baseline.overdispersion(group) * (1 / touched.batches + 1 / kind.batches)
             + (noise + unlike**2) / chance
         )
         score = sqrt(2 * _divergence(share, against) / spread) if share > against else 0.0
@@ -299,10 +301,10 @@
             expected,
             touched.batches,
             score,
-            bound(1 / spread, self.policy.false_alarms * part / max(1, groups)),
+            confidence_bound(1 / spread, self.policy.false_alarms * part / max(1, groups)),
         )
 
-    def _moved(self, group: str, metric: int, touched: Tally) -> tuple[float, float, float] | None:
+    def _moved(self, group: str, metric: int, touched: OutcomeCounts) -> tuple[float, float, float] | None:
         """What happened meanwhile to batches left alone, its variance, and how unlike the touched may be.
         Told by the group's own control and by all together, whichever moved more: a shock that the thin one
         of them missed by chance must not be taken for the change's. None: a control is to be had, but not
@@ -311,7 +313,7 @@
         if every.total < LEAST_CONTROL:
             known = any(
                 not kind and tally.batches >= LEAST_CONTROL
-                for (_, kind), tally in self.before.tallies.items()
+                for (_, kind), tally in self.baseline.counts.items()
             )
             return None if known else (0.0, 0.0, 0.0)
         told = [self._told(every, UNLIKE, metric, touched)]
@@ -320,7 +322,7 @@
         return max(told, key=lambda each: (each[0], -each[2]))
 
     def _told(
-        self, control: Control, unlike: float, metric: int, touched: Tally
+        self, control: Control, unlike: float, metric: int, touched: OutcomeCounts
     ) -> tuple[float, float, float]:
         """Each slice of time counts as the touched have batches in it, else a crash at the end of the canary,
         when most is touched, would be told from a control that saw it thinly."""
@@ -343,6 +345,6 @@
     return inside + ((1 - share) * log((1 - share) / (1 - expected)) if share < 1 else 0.0)
 
 
-def bound(weight: float, false_alarms: float) -> float:
+def confidence_bound(weight: float, false_alarms: float) -> float:
     """What the statistic passes by chance at any time with that probability, after so many batches' worth."""
     return sqrt((1 + RHO / weight) * (log(1 + weight / RHO) + 2 * log(1 / (2 * false_alarms))))
--- a/pathturn/change/what.py
+++ b/pathturn/change/document_diff.py
@@ -12,7 +12,7 @@
 SLICE = 64
 
 
-def differences(old: Document, new: Document) -> Generator[None, None, tuple[str, ...]]:
+def diff_documents(old: Document, new: Document) -> Generator[None, None, tuple[str, ...]]:
     """Such as "routes: 2 added (a, b), 1 changed (c)"; in slices, as there may be ten thousand of them."""
     told = []
     for part in ("pools", "routes", "limits"):
@@ -46,7 +46,7 @@
     return tuple(told) or ("nothing",)
 
 
-def alters(what: tuple[str, ...]) -> bool:
+def affects_batches(what: tuple[str, ...]) -> bool:
     """Whether batches may be treated otherwise: not where nothing but the policy of changes is another
     one."""
     return any(line not in ("nothing", "change") for line in what)
--- a/pathturn/change/ledger.py
+++ b/pathturn/change/ledger.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from pathturn.change.states import Change, undo
+from pathturn.change.states import Change, roll_back
 from pathturn.config.document import Document
 from pathturn.config.read import Unusable, parse, read
 
@@ -33,11 +33,11 @@
 """
 
 
-class Broken(Exception):
+class LedgerUnusableError(Exception):
     """The file is not a ledger that can be trusted; its text says what is wrong and what to do."""
 
 
-class Unwritten(Exception):
+class LedgerWriteError(Exception):
     """A step could not be made durable, so that it must not take effect."""
 
 
@@ -60,7 +60,7 @@
     )
 
 
-def digest(*parts: object) -> bytes:
+def checksum(*parts: object) -> bytes:
     return blake2b(
         b"\x00".join(part if isinstance(part, bytes) else str(part).encode() for part in parts),
         digest_size=16,
@@ -74,58 +74,62 @@
     def __init__(self, path: Path, probe: Callable[[str], None] = lambda point: None) -> None:
         self.path, self.probe = path, probe
         try:
-            self.base = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=1.0)
+            self.connection = sqlite3.connect(
+                path, isolation_level=None, check_same_thread=False, timeout=1.0
+            )
             self._open()
         except sqlite3.Error as fault:
-            raise Broken(f"{path}: {fault}; {_fix(str(fault))}") from fault
+            raise LedgerUnusableError(f"{path}: {fault}; {_fix(str(fault))}") from fault
 
     def _open(self) -> None:
         for pragma in ("locking_mode=EXCLUSIVE", "journal_mode=WAL", "synchronous=FULL"):
-            self.base.execute("PRAGMA " + pragma)
-        (version,) = self.base.execute("PRAGMA user_version").fetchone()
-        (kind,) = self.base.execute("PRAGMA application_id").fetchone()
-        (tables,) = self.base.execute("SELECT count(*) FROM sqlite_master").fetchone()
+            self.connection.execute("PRAGMA " + pragma)
+        (version,) = self.connection.execute("PRAGMA user_version").fetchone()
+        (kind,) = self.connection.execute("PRAGMA application_id").fetchone()
+        (tables,) = self.connection.execute("SELECT count(*) FROM sqlite_master").fetchone()
         if not tables and not version:
             self._create()
         elif kind != APPLICATION:
-            raise Broken(f"{self.path}: another program's file; name a new one")
+            raise LedgerUnusableError(f"{self.path}: another program's file; name a new one")
         elif version != FORMAT:
-            raise Broken(f"{self.path}: format {version}, not {FORMAT}; use the program that wrote it")
-        (found,) = self.base.execute("PRAGMA quick_check").fetchone()
+            raise LedgerUnusableError(
+                f"{self.path}: format {version}, not {FORMAT}; use the program that wrote it"
+            )
+        (found,) = self.connection.execute("PRAGMA quick_check").fetchone()
         if found != "ok":
-            raise Broken(f"{self.path}: damaged ({found}); move it away to begin a new ledger")
+            raise LedgerUnusableError(f"{self.path}: damaged ({found}); move it away to begin a new ledger")
 
     def _create(self) -> None:
         with self._write("create"):
             for statement in SCHEMA.split(";"):
                 if statement.strip():
-                    self.base.execute(statement)
-            self.base.execute(f"PRAGMA application_id={APPLICATION}")
-            self.base.execute(f"PRAGMA user_version={FORMAT}")
+                    self.connection.execute(statement)
+            self.connection.execute(f"PRAGMA application_id={APPLICATION}")
+            self.connection.execute(f"PRAGMA user_version={FORMAT}")
 
     @contextmanager
     def _write(self, name: str) -> Iterator[None]:
-        """All of it or nothing; Unwritten where the disk would not take it."""
+        """All of it or nothing; LedgerWriteError where the disk would not take it."""
         try:
             self.probe(f"{name}:before")
-            self.base.execute("BEGIN IMMEDIATE")
+            self.connection.execute("BEGIN IMMEDIATE")
             try:
                 yield
                 self.probe(f"{name}:written")
-                self.base.execute("COMMIT")
+                self.connection.execute("COMMIT")
             except BaseException:
-                if self.base.in_transaction:
-                    self.base.execute("ROLLBACK")
+                if self.connection.in_transaction:
+                    self.connection.execute("ROLLBACK")
                 raise
             self.probe(f"{name}:committed")
         except sqlite3.Error as fault:
-            raise Unwritten(f"{self.path}: {fault}") from fault
+            raise LedgerWriteError(f"{self.path}: {fault}") from fault
 
     def close(self) -> None:
-        self.base.close()
+        self.connection.close()
 
     # What is there.
-    def present(self) -> int:
+    def current_generation(self) -> int:
         """The generation in force; 0 in a new ledger."""
         row = self._row("SELECT generation, sum FROM present")
         if row is None:
@@ -136,14 +140,16 @@
     def document(self, number: int) -> Document:
         row = self._row("SELECT document, sum FROM generations WHERE number = ?", number)
         if row is None:
-            raise Broken(f"{self.path}: generation {number} is missing; restore the file, or begin a new one")
+            raise LedgerUnusableError(
+                f"{self.path}: generation {number} is missing; restore the file, or begin a new one"
+            )
         self._checked(row[1], number, row[0])
         try:
             return read(parse(row[0]))
         except Unusable as fault:
-            raise Broken(f"{self.path}: generation {number} cannot be used: {fault}") from fault
+            raise LedgerUnusableError(f"{self.path}: generation {number} cannot be used: {fault}") from fault
 
-    def change(self, identity: str) -> Change | None:
+    def find_change(self, identity: str) -> Change | None:
         row = self._row("SELECT record, sum FROM changes WHERE id = ?", identity)
         return None if row is None else self._change(*row)
 
@@ -153,17 +159,17 @@
 
     def history(self, most: int = 50) -> list[Change]:
         """The latest first."""
-        rows = self.base.execute("SELECT record, sum FROM changes ORDER BY seq DESC LIMIT ?", (most,))
+        rows = self.connection.execute("SELECT record, sum FROM changes ORDER BY seq DESC LIMIT ?", (most,))
         return [self._change(*row) for row in rows]
 
     def steps(self, identity: str) -> list[Step]:
-        rows = self.base.execute(
+        rows = self.connection.execute(
             "SELECT at_us, record, sum FROM steps WHERE id = ? ORDER BY seq", (identity,)
         )
         return [Step(at, self._change(record, check)) for at, record, check in rows]
 
     def generations(self) -> list[int]:
-        return [row[0] for row in self.base.execute("SELECT number FROM generations ORDER BY number")]
+        return [row[0] for row in self.connection.execute("SELECT number FROM generations ORDER BY number")]
 
     def last_generation(self) -> int:
         """The highest number ever given: those of undone changes are not given again."""
@@ -171,31 +177,33 @@
         return row[0] or 0
 
     def _row(self, query: str, *values: object) -> tuple | None:
-        return self.base.execute(query, values).fetchone()
+        return self.connection.execute(query, values).fetchone()
 
     def _checked(self, check: bytes, *parts: object) -> None:
-        if digest(*parts) != check:
-            raise Broken(f"{self.path}: a checksum is wrong; restore the file, or move it away to begin anew")
+        if checksum(*parts) != check:
+            raise LedgerUnusableError(
+                f"{self.path}: a checksum is wrong; restore the file, or move it away to begin anew"
+            )
 
     def _change(self, record: bytes, check: bytes) -> Change:
         self._checked(check, record)
         return msgspec.json.decode(record, type=Change, dec_hook=lambda kind, value: kind(value))
 
     # What is written: one transaction each.
-    def first(self, document: bytes) -> int:
+    def initialize(self, document: bytes) -> int:
         """The document that a new ledger begins with, kept without a watch: nothing came before it."""
-        with self._write("first"):
+        with self._write("initialize"):
             self._put_document(1, document)
             self._put_present(1)
         return 1
 
-    def staged(self, change: Change, document: bytes) -> None:
+    def record_staged(self, change: Change, document: bytes) -> None:
         """The document in its canonical form."""
         with self._write("staged"):
             self._put_document(change.generation, document)
             self._put(change)
 
-    def moved(self, change: Change) -> None:
+    def record_step(self, change: Change) -> None:
         """One step of a change; where it is kept its generation is the one in force from here on."""
         with self._write(change.state):
             self._put(change)
@@ -210,44 +218,46 @@
         ended = None
         # More than one where the disk did not take an undo and a later change was staged all the same.
         while (left := self.open_change()) is not None:
-            ended = undo(left, now_us, f"the gateway ended while it was {left.state}")
-            self.moved(ended)
+            ended = roll_back(left, now_us, f"the gateway ended while it was {left.state}")
+            self.record_step(ended)
         return ended
 
     def _put(self, change: Change) -> None:
         record = msgspec.json.encode(
             change, enc_hook=lambda value: int(value) if isinstance(value, int) else float(value)
         )
-        check = digest(record)
-        self.base.execute(
+        check = checksum(record)
+        self.connection.execute(
             "INSERT INTO changes (id, state, record, sum) VALUES (?, ?, ?, ?) ON CONFLICT (id) DO UPDATE SET "
             "state = excluded.state, record = excluded.record, sum = excluded.sum",
             (change.id, change.state, record, check),
         )
-        self.base.execute(
+        self.connection.execute(
             "INSERT INTO steps (id, at_us, record, sum) VALUES (?, ?, ?, ?)",
             (change.id, change.since_us, record, check),
         )
 
     def _put_document(self, number: int, data: bytes) -> None:
-        self.base.execute("INSERT INTO generations VALUES (?, ?, ?)", (number, data, digest(number, data)))
+        self.connection.execute(
+            "INSERT INTO generations VALUES (?, ?, ?)", (number, data, checksum(number, data))
+        )
 
     def _put_present(self, number: int) -> None:
-        self.base.execute(
-            "INSERT OR REPLACE INTO present VALUES (1, ?, ?)", (number, digest("present", number))
+        self.connection.execute(
+            "INSERT OR REPLACE INTO present VALUES (1, ?, ?)", (number, checksum("present", number))
         )
 
     def _prune(self) -> None:
         """Keeps the latest changes, and of the generations those that they name, the present and the
         highest."""
-        self.base.execute(
+        self.connection.execute(
             "DELETE FROM changes WHERE seq <= (SELECT max(seq) FROM changes) - ?", (MOST_CHANGES,)
         )
-        self.base.execute("DELETE FROM steps WHERE id NOT IN (SELECT id FROM changes)")
+        self.connection.execute("DELETE FROM steps WHERE id NOT IN (SELECT id FROM changes)")
         least = self._row("SELECT record FROM changes ORDER BY seq LIMIT 1")
         if least is not None:
             oldest = msgspec.json.decode(least[0])["base"]
-            self.base.execute(
+            self.connection.execute(
                 "DELETE FROM generations WHERE number < ? AND number NOT IN (SELECT generation FROM present)",
                 (oldest,),
             )
--- a/pathturn/change/conductor.py
+++ b/pathturn/change/manager.py
@@ -16,11 +16,19 @@
 
 from pathturn.background.scheduler import JobQueueFull, Scheduler
 from pathturn.change import states
-from pathturn.change.guard import BESIDE, LEFT, TOUCHED, Before, Ended, Finding, Guard
-from pathturn.change.ledger import Ledger, Unwritten, digest
-from pathturn.change.memory import Lately
-from pathturn.change.states import Change, Refused, Sight
-from pathturn.change.what import alters, differences
+from pathturn.change.canary_analysis import (
+    CONTROL,
+    TREATMENT,
+    UNRELATED,
+    Baseline,
+    BatchOutcome,
+    CanaryAnalysis,
+    Finding,
+)
+from pathturn.change.document_diff import affects_batches, diff_documents
+from pathturn.change.ledger import Ledger, LedgerWriteError, checksum
+from pathturn.change.recent_outcomes import RecentOutcomes
+from pathturn.change.states import Change, ChangeRefusedError, Observation
 from pathturn.config.document import Document
 from pathturn.config.read import Unusable, canonical, encoding, parse, parsing, reading, spend, through
 from pathturn.core import interface as names
@@ -36,7 +44,7 @@
 LONGEST_TEXT = 2_000  # of who and why
 
 
-class Request(NamedTuple):
+class ChangeRequest(NamedTuple):
     """A change as an operator asks for it; the same id twice is the same change. The document may be JSON
     still."""
 
@@ -47,7 +55,7 @@
     document: Any
 
 
-class Conductor:
+class ChangeManager:
     def __init__(
         self,
         facade: Facade,
@@ -60,28 +68,28 @@
         self.facade, self.ledger, self.scheduler = facade, ledger, scheduler
         self.validation_context = validation_context
         self.clock, self.log = clock, log
-        self.router, self.lately, self.lock = Router(), Lately(), RLock()
+        self.router, self.recent_outcomes, self.lock = Router(), RecentOutcomes(), RLock()
         self.change: Change | None = None
-        self.table: RoutingTable | None = None
-        self.guard: Guard | None = None
-        self.began_us, self.undo_us, self.stopped = 0, 0, False
+        self.candidate_table: RoutingTable | None = None
+        self.analysis: CanaryAnalysis | None = None
+        self.began_us, self.rollback_us, self.stopped = 0, 0, False
 
     # Start and stop.
     def start(self, document: Path) -> None:
         """Before the first batch: what was not kept is undone, then the kept generation is put in force.
-        Raises Unusable, Broken or Unwritten."""
+        Raises Unusable, LedgerUnusableError or LedgerWriteError."""
         ended = self.ledger.recover(self.clock())
         if ended is not None:
             self.log(f"change {ended.id} code=undone reason={ended.reason}")
-        number = self.ledger.present()
+        number = self.ledger.current_generation()
         if not number:
             first = self._checked(through(reading(parse(document.read_bytes()))))
-            number = self.ledger.first(canonical(first))
+            number = self.ledger.initialize(canonical(first))
         self.router.update_engines(self.facade.engine_registry.engine_entries)
         table = RoutingTable(number, self.ledger.document(number), self.facade.groups)
         through(self.router.compile(table))
         self.router.activate(table)
-        self.facade.use_router(self.router, batch_attributes, self.ended)
+        self.facade.use_router(self.router, batch_attributes, self.on_batch_end)
         self.log(f"generation {number} code=in_force routes={len(table.targets)} pools={len(table.pools)}")
 
     def _checked(self, document: Document) -> Document:
@@ -94,7 +102,7 @@
         while True:
             gevent.sleep(LOOK_S)
             try:
-                self.look()
+                self.evaluate_trial()
             except Exception as fault:  # noqa: BLE001 - a watch that ended would leave a change unwatched for ever
                 self._abandon(f"the watch failed: {type(fault).__name__}: {fault}")
 
@@ -123,16 +131,16 @@
             raise Unusable(faults)
         return document
 
-    def stage(self, request: Request) -> Change:
-        """Raises Unusable or Refused; a change that is known is given back as it stands."""
+    def stage(self, request: ChangeRequest) -> Change:
+        """Raises Unusable or ChangeRefusedError; a change that is known is given back as it stands."""
         _sane(request)
         document = self.check(request.document)
         with self.lock:
-            known = self.ledger.change(request.id)
+            known = self.ledger.find_change(request.id)
             if known is not None:
                 return self._same(known, document)
             if self.stopped:
-                raise Refused("stopping", "the gateway is stopping; ask the next one")
+                raise ChangeRefusedError("stopping", "the gateway is stopping; ask the next one")
             number = self.ledger.last_generation() + 1
             wanted = Change(
                 request.id,
@@ -145,20 +153,20 @@
                 self.clock(),
             )
             change = states.stage(wanted, self.router.current.generation, self.change)
-            what = self._job("what", differences(self.router.current.document, document))
+            what = self._job("what", diff_documents(self.router.current.document, document))
             change = replace(change, what=what)
             table = RoutingTable(change.generation, document, self.facade.groups)
             self._job("compile", self.router.compile(table))
-            self._write(self.ledger.staged, change, self._job("encode", encoding(document)))
-            self.change, self.table = change, table
+            self._write(self.ledger.record_staged, change, self._job("encode", encoding(document)))
+            self.change, self.candidate_table = change, table
             self._tell(change)
             return change
 
     def _same(self, known: Change, document: Document) -> Change:
         if known.generation in self.ledger.generations():
             kept = canonical(self.ledger.document(known.generation))
-            if digest(kept) != digest(canonical(document)):
-                raise Refused(
+            if checksum(kept) != checksum(canonical(document)):
+                raise ChangeRefusedError(
                     "reused", f"change {known.id!r} is another document; give this one an id of its own"
                 )
         return known
@@ -170,16 +178,16 @@
                 return self._known(identity)
             if self.change.state != "staged":
                 return self.change
-            table, current = self.table, self.router.current
-            before = self._job(
+            table, current = self.candidate_table, self.router.current
+            baseline = self._job(
                 "before",
-                self.lately.before(
+                self.recent_outcomes.baseline(
                     lambda attributes: routing_differs(current, table, attributes), self.clock()
                 ),
             )
-            begun = states.begin(self.change, self.clock())
-            self._write(self.ledger.moved, begun)
-            self._begin(begun, before)
+            begun = states.start(self.change, self.clock())
+            self._write(self.ledger.record_step, begun)
+            self._begin(begun, baseline)
             return begun
 
     def undo(self, identity: str, who: str, why: str) -> Change:
@@ -189,7 +197,7 @@
                 return self._undo(f"undone by {who[:LONGEST_TEXT]}: {why[:LONGEST_TEXT]}")
             known = self._known(identity)
             if known.state == "kept":
-                raise Refused(
+                raise ChangeRefusedError(
                     "kept",
                     f"change {identity!r} is kept; stage the generation before it, "
                     f"{known.base}, as a change of its own",
@@ -197,9 +205,9 @@
             return known
 
     def _known(self, identity: str) -> Change:
-        known = self.ledger.change(identity)
+        known = self.ledger.find_change(identity)
         if known is None:
-            raise Refused("unknown", f"no change {identity!r}; see `change history`")
+            raise ChangeRefusedError("unknown", f"no change {identity!r}; see `change history`")
         return known
 
     def history(self, most: int) -> list[Change]:
@@ -208,14 +216,14 @@
 
     def status(self) -> dict[str, Any]:
         trial = self.change is not None and self.change.state in ("canary", "watched")
-        findings = self.guard.findings() if trial and self.guard else []
+        findings = self.analysis.findings() if trial and self.analysis else []
         return {
             "generation": self.router.current.generation,
-            "change": None if self.change is None else shown(self.change),
+            "change": None if self.change is None else change_as_dict(self.change),
             "share": self.router.candidate_share if trial else 0.0,
             "due_us": self._due_us() if trial else 0,
-            "findings": [finding._asdict() | {"harm": finding.harm} for finding in findings],
-            "unjudged": self.guard.unjudged() if trial and self.guard else [],
+            "findings": [finding._asdict() | {"harm": finding.is_harm} for finding in findings],
+            "unjudged": self.analysis.unjudged_groups() if trial and self.analysis else [],
             "pools": {
                 name: {"engines": len(pool.members), "ready": len(pool.ready)}
                 for name, pool in self.router.current.pools.items()
@@ -228,75 +236,77 @@
         return max(0, change.since_us + span - self.clock())
 
     # The watch.
-    def ended(self, batch: Batch, end: End) -> None:
+    def on_batch_end(self, batch: Batch, end: End) -> None:
         """How a batch ended, told by the facade; batches that were withdrawn count too."""
         now, told = self.clock(), batch.attributes
-        ended = _ended(batch, end, now, self.facade.groups[batch.group])
-        self.lately.add(now, told, ended)
-        if self.guard is None or batch.received_us < self.began_us:
+        ended = _batch_outcome(batch, end, now, self.facade.groups[batch.group])
+        self.recent_outcomes.add(now, told, ended)
+        if self.analysis is None or batch.received_us < self.began_us:
             return
-        kind = routing_differs(self.router.current, self.table, told)
+        kind = routing_differs(self.router.current, self.candidate_table, told)
         served = batch.destination.generation == self.change.generation
-        self.guard.add(now - self.began_us, (TOUCHED if served else BESIDE) if kind else LEFT, ended)
+        self.analysis.add(
+            now - self.began_us, (TREATMENT if served else CONTROL) if kind else UNRELATED, ended
+        )
 
-    def look(self) -> None:
+    def evaluate_trial(self) -> None:
         """One look of the watch: what the guard sees, and what becomes of the change by it."""
         with self.lock:
             change = self.change
-            if change is None or self.guard is None:
+            if change is None or self.analysis is None:
                 return
-            judged = states.judge(change, self.clock(), self._sight())
+            judged = states.evaluate(change, self.clock(), self._observe())
             if judged is change:
                 return
             if judged.state == "undone":
                 self._undo(judged.reason, judged.figures)
                 return
             try:
-                self._write(self.ledger.moved, judged)
-            except Unwritten as fault:
+                self._write(self.ledger.record_step, judged)
+            except LedgerWriteError as fault:
                 self._undo(f"the ledger cannot be written: {fault}")
                 return
             self._take(judged)
 
-    def _sight(self) -> Sight:
-        findings = self.guard.findings()
-        worst = max((each for each in findings if each.harm), key=Finding.weight, default=None)
-        unjudged = self.guard.unjudged()
-        if not self.guard.groups() and alters(self.change.what):
+    def _observe(self) -> Observation:
+        findings = self.analysis.findings()
+        worst = max((each for each in findings if each.is_harm), key=Finding.severity, default=None)
+        unjudged = self.analysis.unjudged_groups()
+        if not self.analysis.affected_groups() and affects_batches(self.change.what):
             unjudged = ["anything that it touches"]  # none came: that is no proof of no harm
-        return Sight(None if worst is None else str(worst), tuple(unjudged), tuple(map(str, findings)))
+        return Observation(None if worst is None else str(worst), tuple(unjudged), tuple(map(str, findings)))
 
     # Steps take effect; no other place changes the tables.
-    def _begin(self, change: Change, before: Before) -> None:
-        self.guard, self.began_us = Guard(before, change.policy), self.clock()
+    def _begin(self, change: Change, baseline: Baseline) -> None:
+        self.analysis, self.began_us = CanaryAnalysis(baseline, change.policy), self.clock()
         self._take(change)
 
     def _take(self, change: Change) -> None:
         self.change = change
         if change.state == "kept":
             old = self.router.current
-            self.router.activate(self.table)
+            self.router.activate(self.candidate_table)
             self._over(old)
         else:
-            self.router.set_candidate(self.table, change.share, change.id)
+            self.router.set_candidate(self.candidate_table, change.share, change.id)
         self._tell(change)
 
     def _undo(self, reason: str, figures: tuple[str, ...] = ()) -> Change:
         asked = self.clock()
-        if not figures and self.guard is not None:
-            figures = tuple(map(str, self.guard.findings()))
-        undone = states.undo(self.change, asked, reason, figures)
+        if not figures and self.analysis is not None:
+            figures = tuple(map(str, self.analysis.findings()))
+        undone = states.roll_back(self.change, asked, reason, figures)
         try:
-            with gevent.Timeout(DISK_S, Unwritten("the disk takes too long")):
-                self._write(self.ledger.moved, undone)
-        except Unwritten as fault:
+            with gevent.Timeout(DISK_S, LedgerWriteError("the disk takes too long")):
+                self._write(self.ledger.record_step, undone)
+        except LedgerWriteError as fault:
             self.log(f"change {undone.id} code=undo_unwritten fault={fault}")
         # One turn of the loop: no round and no batch between the tables and what goes back to them.
         self.router.activate(self.router.current)
         moved = self.facade.reroute_unsent(undone.generation)
-        self._over(self.table)
-        self.undo_us = self.clock() - asked
-        self.log(f"change {undone.id} code=taken_back batches={moved} us={self.undo_us}")
+        self._over(self.candidate_table)
+        self.rollback_us = self.clock() - asked
+        self.log(f"change {undone.id} code=taken_back batches={moved} us={self.rollback_us}")
         self._tell(undone)
         return undone
 
@@ -309,7 +319,7 @@
     def _over(self, useless: RoutingTable) -> None:
         """The change has ended; the table that nobody goes by any more is freed in the background, as a large
         one takes twenty milliseconds."""
-        self.change = self.table = self.guard = None
+        self.change = self.candidate_table = self.analysis = None
         with suppress(JobQueueFull):
             self.scheduler.submit("free", useless.free(), USUAL)
 
@@ -327,7 +337,7 @@
         )
 
 
-def shown(change: Change) -> dict[str, Any]:
+def change_as_dict(change: Change) -> dict[str, Any]:
     """A change as answers and tables show it."""
     return {
         "id": change.id,
@@ -346,17 +356,19 @@
     }
 
 
-def _sane(request: Request) -> None:
+def _sane(request: ChangeRequest) -> None:
     for name in ("id", "who", "why"):
         value = getattr(request, name)
         if type(value) is not str or not value.strip() or len(value) > LONGEST_TEXT:
-            raise Refused("usage", f"{name} is missing or too long; a change names its id, who and why")
+            raise ChangeRefusedError(
+                "usage", f"{name} is missing or too long; a change names its id, who and why"
+            )
     if type(request.base) is not int:
-        raise Refused("usage", "base is missing; name the generation that the change is based on")
+        raise ChangeRefusedError("usage", "base is missing; name the generation that the change is based on")
 
 
-def _ended(batch: Batch, end: End, now: int, group: names.ServiceGroup) -> Ended:
+def _batch_outcome(batch: Batch, end: End, now: int, group: names.ServiceGroup) -> BatchOutcome:
     took, how = now - batch.received_us, end.outcome or "given_up"
     late = how != names.RETURNED or took > batch.response_goal_us
     worth = 0.0 if how != names.RETURNED else group.late_utility if late else 1.0
-    return Ended(batch.group, how, late, took, min(1.0, worth))
+    return BatchOutcome(batch.group, how, late, took, min(1.0, worth))
--- a/pathturn/control/protocol.py
+++ b/pathturn/control/protocol.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from pathturn.background.scheduler import JobCancelled, JobQueueFull
-from pathturn.change.conductor import Request, shown
-from pathturn.change.ledger import Broken, Unwritten
-from pathturn.change.states import Change, Refused
+from pathturn.change.ledger import LedgerUnusableError, LedgerWriteError
+from pathturn.change.manager import ChangeRequest, change_as_dict
+from pathturn.change.states import Change, ChangeRefusedError
 from pathturn.config.read import Unusable
 
 MALFORMED, UNKNOWN, UNUSABLE, REFUSED, FAULTY, UNDONE = -32700, -32601, -32602, -32010, -32011, -32012
@@ -28,7 +28,7 @@
     """What a call may ask for."""
 
     def check(self, raw: Any) -> Any: ...
-    def stage(self, request: Request) -> Change: ...
+    def stage(self, request: ChangeRequest) -> Change: ...
     def apply(self, identity: str) -> Change: ...
     def undo(self, identity: str, who: str, why: str) -> Change: ...
     def status(self) -> dict[str, Any]: ...
@@ -68,7 +68,7 @@
     def _call(self, number: Any, method: Callable[..., Any], params: dict[str, Any]) -> bytes:
         try:
             return told(number, result=method(**params))
-        except Refused as fault:
+        except ChangeRefusedError as fault:
             return fault_line(number, REFUSED, str(fault), code_name=fault.code)
         except Unusable as fault:
             return fault_line(
@@ -77,7 +77,7 @@
                 f"{len(fault.faults)} faults",
                 faults=[each._asdict() for each in fault.faults],
             )
-        except (Unwritten, Broken, JobCancelled, JobQueueFull) as fault:
+        except (LedgerWriteError, LedgerUnusableError, JobCancelled, JobQueueFull) as fault:
             return fault_line(number, UNDONE, str(fault))
         except TypeError as fault:
             return fault_line(number, UNUSABLE, str(fault))
@@ -89,21 +89,21 @@
         return {"routes": len(found.routes), "pools": len(found.pools), "limits": len(found.limits)}
 
     def _stage(self, id: str, base: int, who: str, why: str, document: Any) -> dict[str, Any]:  # noqa: A002
-        return shown(self.operated.stage(Request(id, base, who, why, document)))
+        return change_as_dict(self.operated.stage(ChangeRequest(id, base, who, why, document)))
 
     def _apply(self, id: str) -> dict[str, Any]:  # noqa: A002 - the wire's word
-        return shown(self.operated.apply(id))
+        return change_as_dict(self.operated.apply(id))
 
     def _undo(self, id: str, who: str, why: str) -> dict[str, Any]:  # noqa: A002
-        return shown(self.operated.undo(id, str(who), str(why)))
+        return change_as_dict(self.operated.undo(id, str(who), str(why)))
 
     def _status(self) -> dict[str, Any]:
         return self.operated.status()
 
     def _history(self, most: int = 20) -> list[dict[str, Any]]:
         if type(most) is not int or not 0 < most <= MOST_HISTORY:
-            raise Refused("usage", f"most is between 1 and {MOST_HISTORY}")
-        return [shown(change) for change in self.operated.history(most)]
+            raise ChangeRefusedError("usage", f"most is between 1 and {MOST_HISTORY}")
+        return [change_as_dict(change) for change in self.operated.history(most)]
 
 
 def told(number: Any, **parts: Any) -> bytes:
--- a/pathturn/process/operator.py
+++ b/pathturn/process/operator.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from pathturn.background.scheduler import Scheduler
-from pathturn.change.conductor import Conductor
 from pathturn.change.ledger import Ledger
+from pathturn.change.manager import ChangeManager
 from pathturn.config.installation import Installation
 from pathturn.control.protocol import Calls
 from pathturn.control.server import Control
@@ -38,10 +38,14 @@
         # Events that wait for a round count as traffic, and background jobs wait for them.
         self.scheduler = Scheduler(clock, lambda: bool(facade.events))
         self.ledger = Ledger(Path(installation.ledger))
-        self.conductor = Conductor(facade, self.ledger, self.scheduler, self.validation_context, clock, log)
-        self.conductor.start(Path(installation.document))
+        self.change_manager = ChangeManager(
+            facade, self.ledger, self.scheduler, self.validation_context, clock, log
+        )
+        self.change_manager.start(Path(installation.document))
         self.control = (
-            Control(Path(installation.control), Calls(self.conductor), log) if installation.control else None
+            Control(Path(installation.control), Calls(self.change_manager), log)
+            if installation.control
+            else None
         )
 
     def validation_context(self) -> ValidationContext:
@@ -57,11 +61,11 @@
         """Start the control socket; return the functions to run in greenlets of their own."""
         if self.control is not None:
             self.control.start()
-        return [self.scheduler.run, self.conductor.run]
+        return [self.scheduler.run, self.change_manager.run]
 
     def stop(self) -> None:
         """Undo a change on trial; no further one is accepted."""
-        self.conductor.stop()
+        self.change_manager.stop()
 
     def close(self) -> None:
         """Close the control socket and the ledger."""
--- a/pathturn/standins/demo.py
+++ b/pathturn/standins/demo.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from pathturn.change.conductor import Request
+from pathturn.change.manager import ChangeRequest
 from pathturn.process.gateway import GatewayProcess
 from pathturn.standins.clients import Crowd, judged
 from pathturn.standins.farm import Farm, installed, spare_address
@@ -37,13 +37,13 @@
         parts = [gevent.spawn(gateway.run)]
         crowd = Crowd(address)
         parts.append(gevent.spawn(crowd.run, RATE, seconds))
-        parts.append(gevent.spawn(_line, crowd, gateway.operator.conductor, seconds))
+        parts.append(gevent.spawn(_line, crowd, gateway.operator.change_manager, seconds))
         if harm:
             gevent.sleep(min(WARM_S, seconds / 2))
-            _harm(gateway.operator.conductor)
+            _harm(gateway.operator.change_manager)
         gevent.joinall(parts[1:])
         crowd.settle()
-        change = next(iter(gateway.operator.conductor.history(1)), None)
+        change = next(iter(gateway.operator.change_manager.history(1)), None)
         good = _table(crowd, farm, change) and (not harm or change.state == "undone")
         gateway.stop_requested.set()
         parts[0].join(3)
@@ -61,19 +61,19 @@
     return farm
 
 
-def _harm(conductor: Any) -> None:
+def _harm(change_manager: Any) -> None:
     changed = DOCUMENT | {"routes": [DOCUMENT["routes"][0] | {"to": "attic"}]}
     print("\nstaging a change that sends look batches of data sets 1 to 5 to a worn-out engine")
-    conductor.stage(Request("demo", 1, "demo", "to show an undo", changed))
-    conductor.apply("demo")
+    change_manager.stage(ChangeRequest("demo", 1, "demo", "to show an undo", changed))
+    change_manager.apply("demo")
 
 
-def _line(crowd: Crowd, conductor: Any, seconds: float) -> None:
+def _line(crowd: Crowd, change_manager: Any, seconds: float) -> None:
     end = monotonic() + seconds
     while (left := end - monotonic()) > 0:
         ends = crowd.ends()
         total = {how: sum(each[how] for each in ends.values()) for how in HOW}
-        change = conductor.change
+        change = change_manager.change
         state = f", change {change.state} at {change.share:.0%}" if change is not None else ""
         print(
             f"\r{left:4.0f} s left, {sum(crowd.sent.values())} sent, "
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -15,9 +15,9 @@
 from gevent import socket
 from typer.testing import CliRunner
 
-from pathturn.change.conductor import Request
-from pathturn.change.ledger import Unwritten
-from pathturn.change.states import Refused, Sight
+from pathturn.change.ledger import LedgerWriteError
+from pathturn.change.manager import ChangeRequest
+from pathturn.change.states import ChangeRefusedError, Observation
 from pathturn.cli import app
 from pathturn.config.read import Unusable
 from pathturn.control import server
@@ -41,7 +41,7 @@
 
 def request(name, base=1, to="bad", **more):
     routes = [row | {"to": to} for row in DOCUMENT["routes"]]
-    return Request(name, base, "me", "a test", DOCUMENT | {"routes": routes} | more)
+    return ChangeRequest(name, base, "me", "a test", DOCUMENT | {"routes": routes} | more)
 
 
 class Site(Farm):
@@ -56,7 +56,7 @@
         self.gateway = GatewayProcess(told, installed(folder, document))
         self.gateway.server.start()
         self.running = gevent.spawn(self.gateway.run)
-        self.operator, self.conductor = self.gateway.operator, self.gateway.operator.conductor
+        self.operator, self.change_manager = self.gateway.operator, self.gateway.operator.change_manager
         self.crowd = Crowd(self.address)
 
     def close(self):
@@ -70,9 +70,9 @@
 
     def over(self, within=15):
         end = monotonic() + within
-        while self.conductor.change is not None and monotonic() < end:
+        while self.change_manager.change is not None and monotonic() < end:
             gevent.sleep(0.02)
-        assert self.conductor.change is None
+        assert self.change_manager.change is None
 
     def settled(self):
         self.crowd.settle()
@@ -94,14 +94,14 @@
 def test_a_harmful_change_during_a_drain_is_undone_and_no_load_is_lost_doubled_or_reordered(site) -> None:
     traffic = gevent.spawn(site.crowd.run, 70, 60)
     gevent.sleep(4)
-    site.conductor.stage(request("harm"))
+    site.change_manager.stage(request("harm"))
     site.change("n2", "draining")
     drained = monotonic()
-    site.conductor.apply("harm")
+    site.change_manager.apply("harm")
     site.over()
-    undone = site.conductor.history(1)[0]
+    undone = site.change_manager.history(1)[0]
     assert undone.state == "undone" and undone.reason.startswith("harm: ") and undone.figures
-    assert site.conductor.router.current.generation == 1 and site.conductor.router.candidate is None
+    assert site.change_manager.router.current.generation == 1 and site.change_manager.router.candidate is None
     gevent.sleep(2.5)
     traffic.kill()
     site.settled()
@@ -116,8 +116,8 @@
     """To an engine that hangs a key's first load goes out; the others wait behind it until the undo."""
     site.engines["worn"].words = ["hang"]
     limits = [{"name": "l", "pool": "bad", "out": 1}]
-    site.conductor.stage(request("c", change={"watch": "30s", "canary": []}, limits=limits))
-    site.conductor.apply("c")
+    site.change_manager.stage(request("c", change={"watch": "30s", "canary": []}, limits=limits))
+    site.change_manager.apply("c")
     for _ in range(4):
         site.crowd.load("k")
     while not site.engines["worn"].posted:
@@ -127,7 +127,7 @@
     gevent.sleep(0.5)
     held = [batch for batch in site.gateway.facade.batches.by_index.values() if not batch.dispatch_count]
     assert len(held) == 9 and {batch.destination.generation for batch in held} == {2}
-    undone = site.conductor.undo("c", "me", "enough")
+    undone = site.change_manager.undo("c", "me", "enough")
     assert undone.state == "undone" and "enough" in undone.reason
     assert {batch.destination.generation for batch in held} == {1}
     begun = monotonic()
@@ -142,15 +142,18 @@
 def test_a_good_change_is_kept_and_its_whole_meaning_is_in_force(site) -> None:
     traffic = gevent.spawn(site.crowd.run, 60, 60)
     gevent.sleep(2)
-    site.conductor.stage(
+    site.change_manager.stage(
         request("good", to={"one": 0.5, "good": 0.5}, limits=[{"name": "l", "pool": "one", "out": 2}])
     )
-    site.conductor.apply("good")
-    assert site.conductor.status()["share"] == 0.5
+    site.change_manager.apply("good")
+    assert site.change_manager.status()["share"] == 0.5
     site.over()
-    assert site.conductor.history(1)[0].state == "kept" and site.conductor.router.current.generation == 2
+    assert (
+        site.change_manager.history(1)[0].state == "kept"
+        and site.change_manager.router.current.generation == 2
+    )
     gevent.sleep(0.5)
-    limiter = site.conductor.router.current.targets[0].destinations[0].limiters[0]
+    limiter = site.change_manager.router.current.targets[0].destinations[0].limiters[0]
     assert limiter.meter.dispatches_in_flight <= 2
     traffic.kill()
     site.settled()
@@ -162,30 +165,30 @@
 
     def stage(name):
         try:
-            found[name] = site.conductor.stage(request(name))
-        except Refused as fault:
+            found[name] = site.change_manager.stage(request(name))
+        except ChangeRefusedError as fault:
             found[name] = fault.code
 
     gevent.joinall([gevent.spawn(stage, name) for name in ("a", "b")])
     winner = next(name for name in found if not isinstance(found[name], str))
     assert sorted(map(str, (each for each in found.values() if isinstance(each, str)))) == ["busy"]
-    again = site.conductor.stage(request(winner))
-    assert again == found[winner] and len(site.conductor.history(9)) == 1
-    with pytest.raises(Refused, match="another document"):
-        site.conductor.stage(request(winner, to="one"))
-    begun = site.conductor.apply(winner)
-    assert site.conductor.apply(winner) == begun
-    both = [gevent.spawn(site.conductor.undo, winner, who, "stop") for who in ("x", "y")]
+    again = site.change_manager.stage(request(winner))
+    assert again == found[winner] and len(site.change_manager.history(9)) == 1
+    with pytest.raises(ChangeRefusedError, match="another document"):
+        site.change_manager.stage(request(winner, to="one"))
+    begun = site.change_manager.apply(winner)
+    assert site.change_manager.apply(winner) == begun
+    both = [gevent.spawn(site.change_manager.undo, winner, who, "stop") for who in ("x", "y")]
     gevent.joinall(both)
     assert both[0].value == both[1].value and both[0].value.state == "undone"
     assert again.what == ("routes: 3 changed (loads, sets, once)",)
-    with pytest.raises(Refused, match="generation 7"):
-        site.conductor.stage(request("late", base=7))
-    with pytest.raises(Refused, match="no change"):
-        site.conductor.apply("nothing")
+    with pytest.raises(ChangeRefusedError, match="generation 7"):
+        site.change_manager.stage(request("late", base=7))
+    with pytest.raises(ChangeRefusedError, match="no change"):
+        site.change_manager.apply("nothing")
     with pytest.raises(Unusable):
-        site.conductor.stage(request("broken", to="nowhere"))
-    assert site.conductor.change is None
+        site.change_manager.stage(request("broken", to="nowhere"))
+    assert site.change_manager.change is None
 
 
 def test_a_change_whose_traffic_never_comes_gets_the_stated_answer(site) -> None:
@@ -195,51 +198,54 @@
         ("b", quick | {"unclear": "undo"}, {"routes": DOCUMENT["routes"]}, "kept"),
         ("c", quick | {"unclear": "keep"}, {}, "kept"),
     ):
-        base = site.conductor.router.current.generation
-        site.conductor.stage(request(name, base, "one", change=change, **more))
-        site.conductor.apply(name)
+        base = site.change_manager.router.current.generation
+        site.change_manager.stage(request(name, base, "one", change=change, **more))
+        site.change_manager.apply(name)
         site.over()
-        ended = site.conductor.history(1)[0]
+        ended = site.change_manager.history(1)[0]
         assert ended.state == state and ("too little" in ended.reason) == (name != "b"), ended
 
 
 def test_an_undo_that_races_the_guards_own_is_one_undo(site, monkeypatch) -> None:
-    site.conductor.stage(request("c", to="one"))
-    site.conductor.apply("c")
-    monkeypatch.setattr(site.conductor, "_sight", lambda: Sight("look: late", ()))
-    both = [gevent.spawn(site.conductor.look), gevent.spawn(site.conductor.undo, "c", "me", "too")]
+    site.change_manager.stage(request("c", to="one"))
+    site.change_manager.apply("c")
+    monkeypatch.setattr(site.change_manager, "_observe", lambda: Observation("look: late", ()))
+    both = [
+        gevent.spawn(site.change_manager.evaluate_trial),
+        gevent.spawn(site.change_manager.undo, "c", "me", "too"),
+    ]
     gevent.joinall(both)
     assert both[1].value.reason == "harm: look: late"
     assert [step.change.state for step in site.operator.ledger.steps("c")] == ["staged", "canary", "undone"]
 
 
 def test_a_step_that_cannot_be_written_does_not_take_effect_and_an_undo_does(site) -> None:
-    site.conductor.stage(request("c", to="one"))
-    moved = site.operator.ledger.moved
+    site.change_manager.stage(request("c", to="one"))
+    moved = site.operator.ledger.record_step
 
     def full(change):
-        raise Unwritten("disk full")
-
-    site.operator.ledger.moved = full
-    with pytest.raises(Unwritten):
-        site.conductor.apply("c")
-    assert site.conductor.router.candidate is None and site.conductor.change.state == "staged"
-    site.operator.ledger.moved = moved
-    site.conductor.apply("c")
-    site.operator.ledger.moved = full
-    assert site.conductor.undo("c", "me", "anyway").state == "undone"
-    assert site.conductor.router.candidate is None and site.conductor.change is None
-    site.operator.ledger.moved = moved
+        raise LedgerWriteError("disk full")
+
+    site.operator.ledger.record_step = full
+    with pytest.raises(LedgerWriteError):
+        site.change_manager.apply("c")
+    assert site.change_manager.router.candidate is None and site.change_manager.change.state == "staged"
+    site.operator.ledger.record_step = moved
+    site.change_manager.apply("c")
+    site.operator.ledger.record_step = full
+    assert site.change_manager.undo("c", "me", "anyway").state == "undone"
+    assert site.change_manager.router.candidate is None and site.change_manager.change is None
+    site.operator.ledger.record_step = moved
     assert site.operator.ledger.recover(1).state == "undone", "the next start undoes it too"
 
 
 def test_a_pool_that_the_list_empties_holds_back_no_other_and_fills_again(site) -> None:
-    site.conductor.stage(request("c", to="one", change={"watch": "1s", "canary": [], "unclear": "keep"}))
-    site.conductor.apply("c")
+    site.change_manager.stage(request("c", to="one", change={"watch": "1s", "canary": [], "unclear": "keep"}))
+    site.change_manager.apply("c")
     site.over()
     site.change("n0", "gone")
     gevent.sleep(0.6)
-    assert site.conductor.status()["pools"]["one"] == {"engines": 0, "ready": 0}
+    assert site.change_manager.status()["pools"]["one"] == {"engines": 0, "ready": 0}
     caller = site.crowd.callers[0]
     for data_set in (3, 3, 8, 8):
         caller.send("look", 600, data_set=data_set)
