--- a/pathturn/memory/engine_registry.py
+++ b/pathturn/memory/engine_registry.py
@@ -34,6 +34,9 @@
     def update(self, entries: list[tuple]) -> list[tuple]:
         """Replace the list, and return it with indices instead of ids for the decision module.
 
+        An entry is (id, address, zone, machine, cell, state, size, started_ms), a returned row
+        (index, zone, machine, cell, state, size, started_us).
+
         Nothing is kept of removed engines, as new ids appear indefinitely; an engine that returns under its
         old id is a new engine.
         """
--- a/pathturn/memory/facade.py
+++ b/pathturn/memory/facade.py
@@ -80,7 +80,7 @@
         return self.groups.get(name)
 
     def key_queue_drain_us(self, name: str) -> int:
-        """Return how long a batch of an ordered group may have waited for its key before it was written."""
+        """Return how long a batch of an ordered group may have waited at its client for others of its key."""
         return self.dispatcher.key_queue_drain_us(self.groups[name])
 
     def is_open(self, ticket: str) -> bool:
@@ -152,8 +152,8 @@
     def writing_answer(self, batch: Batch) -> Iterator[None]:
         """Mark a batch's answer as being written.
 
-        For the decision module the batch has ended by then, and the next one of its key may go; for the
-        client it has ended only once the answer is written.
+        For the decision module the batch has ended by then, and the next one of its key may be dispatched;
+        for the client it has ended only once the answer is written.
         """
         if batch.key is not None:
             self.unwritten_answers[batch.key] += 1
@@ -226,7 +226,7 @@
         ended_us: int,
         work_us: int = 0,
         memory_mb: float = 0,
-        meter: list[float] | None = None,
+        load_report: list[float] | None = None,
         rows: bytes = b"",
     ) -> None:
         """Record the outcome of a dispatch, exactly once for each; the first returned rows end the batch."""
@@ -245,7 +245,7 @@
             batch.ended,
             work_us if cost_known else 0,
             memory_mb if cost_known else 0,
-            meter,
+            load_report,
         )
         self.batches.remove_if_finished(batch)
 
--- a/pathturn/process/gateway.py
+++ b/pathturn/process/gateway.py
@@ -18,7 +18,7 @@
 from pathturn.process.clock import unix_clock
 from pathturn.process.limits import MAX_HALF_CLOSED, connection_limits, max_line_bytes
 from pathturn.process.log import Log
-from pathturn.process.settings import build_dispatcher
+from pathturn.process.settings import DEFAULT_ROUND_INTERVAL_US, build_dispatcher
 from pathturn.wire import discovery_protocol
 from pathturn.wire.client_connection import ClientConnection
 from pathturn.wire.discovery_client import DiscoveryClient
@@ -46,7 +46,6 @@
 # Intervals allowed after such a wait has timed out: enough to read what has arrived, to run a round, and to
 # write the answers.
 INTERVALS_AFTER_TIMEOUT = 8
-DEFAULT_ROUND_INTERVAL_US = 1000
 DEFAULT_ENGINE_IDLE_TIMEOUT_US = 1_000_000
 DEFAULT_CONNECT_TIMEOUT_US = 250_000
 
@@ -130,14 +129,14 @@
         self.stop_requested.wait()
         self._shut_down()
 
-    def reload(self, read: Callable[[], dict[str, Any]]) -> None:
+    def reload(self, read_config: Callable[[], dict[str, Any]]) -> None:
         """Switch to the discovery address of the configuration read anew, on SIGHUP.
 
         Open batches are not affected. An unusable configuration, such as a file still being written, is
         logged and changes nothing.
         """
         try:
-            address = discovery_protocol.parse_address(read()["names"])
+            address = discovery_protocol.parse_address(read_config()["names"])
         except Exception as fault:  # noqa: BLE001 - whatever is in that file, the gateway goes on serving
             self.log(f"reload code=unusable_{type(fault).__name__}")
             return
@@ -160,9 +159,9 @@
             except Exception:  # noqa: BLE001 - the other batches must be answered whatever went wrong
                 self.log("round failed: " + traceback.format_exc().replace("\n", " | "))
 
-    def _admit(self, link: socket.socket, peer: tuple[str, int]) -> ClientConnection | None:
+    def _admit(self, client_socket: socket.socket, peer: tuple[str, int]) -> ClientConnection | None:
         connection = ClientConnection(
-            link,
+            client_socket,
             self.facade,
             self.dispatch_executor.send,
             self.buffers,
--- a/pathturn/process/limits.py
+++ b/pathturn/process/limits.py
@@ -5,21 +5,21 @@
 RESERVED_DESCRIPTORS = 20
 # Client connections half-closed by the gateway that wait for the client's own close.
 MAX_HALF_CLOSED = 12
-# A line with a statement takes some hundred bytes. Even if all clients stop within a line, their incomplete
-# lines together take no more than this fraction of the memory.
+# Bounds of the limit on the length of a client's line; a line with a statement takes some hundred bytes.
 MAX_LINE_LIMIT_BYTES = 65_536
 MIN_LINE_LIMIT_BYTES = 8_192
+# Even if all clients stop within a line, their incomplete lines take at most this part of the memory.
 LINE_MEMORY_DIVISOR = 16
 
 
-def connection_limits(sockets: int) -> tuple[int, int]:
+def connection_limits(descriptor_limit: int) -> tuple[int, int]:
     """Return the limits of client and of engine connections.
 
     By the protocol regular clients hold at most a third of the descriptors. The rest of the clients' share
-    serves to evict the others, of which hundreds may connect at once.
+    is for other clients, of which hundreds may connect at once, until they are evicted or time out.
     """
-    clients = sockets * 9 // 20
-    return clients, max(1, sockets - clients - RESERVED_DESCRIPTORS - MAX_HALF_CLOSED)
+    clients = descriptor_limit * 9 // 20
+    return clients, max(1, descriptor_limit - clients - RESERVED_DESCRIPTORS - MAX_HALF_CLOSED)
 
 
 def max_line_bytes(memory_mb: int, clients: int) -> int:
--- a/pathturn/process/settings.py
+++ b/pathturn/process/settings.py
@@ -5,6 +5,7 @@
 from pathturn.core import interface as names
 from pathturn.core.choice import GatewayDispatcher
 
+DEFAULT_ROUND_INTERVAL_US = 1000
 # Service group kind by the setting `effect`.
 KIND_BY_EFFECT = {"retryable": names.REPEATABLE, "dedup": names.REFERENCED, "fragile": names.ONCE_ONLY}
 # Load figure by its name in the setting `report.fields`.
@@ -47,7 +48,7 @@
 
 
 def retry_share(config: dict[str, Any]) -> float | None:
-    """Return how many retries the settings allow for each batch; None if they set no retry budget."""
+    """Return the retry budget in retries per batch received; None if the settings have no budget."""
     rules = config.get("rules") or {}
     return (rules.get("extraPerRequest") or 0.0) if rules.get("budgetSpanUs") else None
 
@@ -83,7 +84,7 @@
         max_dispatches=limits.get("maxAttempts") or 1,
         may_cancel=bool(limits.get("cancel")),
         max_retry_after_us=(limits.get("maxRetryAfterUs") or 0) if limits.get("retryAfter") else 0,
-        min_round_interval_us=config.get("stepUs") or 1000,
+        min_round_interval_us=config.get("stepUs") or DEFAULT_ROUND_INTERVAL_US,
         slow_start=(
             rules.get("coldFrom", 1.0),
             rules.get("coldUs") or 0,
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -395,9 +395,9 @@
     rig.engine("e")
     rig.start()
     client_connections, most = rig.gateway.client_connections, []
-    enter, before = client_connections.admit, descriptors()
+    admit, before = client_connections.admit, descriptors()
     monkeypatch.setattr(
-        client_connections, "admit", lambda connection: most.append(descriptors()) or enter(connection)
+        client_connections, "admit", lambda connection: most.append(descriptors()) or admit(connection)
     )
     crowd = [plain.create_connection(rig.listen) for _ in range(90)]  # all there before one is accepted
     until(lambda: len(most) >= 90)
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -101,13 +101,13 @@
     retries = []
     predecessors_answered = facade.predecessors_answered
 
-    def follows_after_window(dispatch) -> bool:
+    def answered_after_window(dispatch) -> bool:
         if dispatch.number == 0:
             return predecessors_answered(dispatch)
         retries.append(dispatch.number)
         return window_ended.is_set() and predecessors_answered(dispatch)
 
-    monkeypatch.setattr(facade, "predecessors_answered", follows_after_window)
+    monkeypatch.setattr(facade, "predecessors_answered", answered_after_window)
     rig.call(1, "load", patience=3000)
     until(lambda: retries)
     gevent.sleep(RETRY_WINDOW_S)
