--- a/pathturn/memory/connection_pool.py
+++ b/pathturn/memory/connection_pool.py
@@ -70,7 +70,7 @@
         if connection.endpoint in self.pending_connections:
             self.discard(connection, "connect_timeout")
             return
-        self.log(f"engine {connection.host} code=connect_late")
+        self.log(f"engine {connection.host} code=connect_pending")
         waiter = self.pending_connections[connection.endpoint] = gevent.spawn(
             connection.wait_established, self.idle_timeout_us / 1e6
         )
@@ -106,7 +106,7 @@
         self.identical_response_endpoints &= endpoints
         for endpoint in self.idle.keys() - endpoints:
             for connection in self.idle.pop(endpoint):
-                self.discard(connection, "engine_gone")
+                self.discard(connection, "engine_removed")
         for endpoint in self.pending_connections.keys() - endpoints:
             self.pending_connections[endpoint].kill(block=False)
 
