--- a/pathturn/process/settings.py
+++ b/pathturn/process/settings.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from pathturn.core import interface as names
-from pathturn.core.choice import GatewayDispatcher
+from pathturn.core.dispatcher import GatewayDispatcher
 
 DEFAULT_ROUND_INTERVAL_US = 1000
 # Service group kind by the setting `effect`.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
 from pathturn.config.document import Limit, Pool
 from pathturn.config.units import Rate
 from pathturn.core import interface as names
-from pathturn.core.choice import GatewayDispatcher
+from pathturn.core.dispatcher import GatewayDispatcher
 from pathturn.process.gateway import GatewayProcess
 from pathturn.process.limits import connection_limits
 from pathturn.process.settings import build_dispatcher
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from pathturn.core.choice import REFERENCE_UTILISATION, Engine, SlowStart
+from pathturn.core.dispatcher import REFERENCE_UTILISATION, Engine, SlowStart
 
 SECOND = 1_000_000
 LEAST, COLD_US, MULTIPLE, FALL_US, CORES = 0.33, 14 * SECOND, 3.0, SECOND, 8
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from pathturn.core import interface as names
-from pathturn.core.choice import MAX_KEY_QUEUE
+from pathturn.core.dispatcher import MAX_KEY_QUEUE
 
 QUIET_US, KEYS, KINDS = 300_000, ("k", "l"), ("referenced", "once", "repeatable")
 ENDS = (
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,7 +7,7 @@
 
 from pathturn.adapter.codec import Codec, serve
 from pathturn.core import interface as names
-from pathturn.core.choice import Batch, Engine, LatencyModel, fit_latency, solve_shares
+from pathturn.core.dispatcher import Batch, Engine, LatencyModel, fit_latency, solve_shares
 from pathturn.structures.sliding_window import SlidingWindowSum
 
 
