--- a/pathturn/change/document_diff.py
+++ b/pathturn/change/document_diff.py
@@ -1,6 +1,6 @@
-"""What one document has that another has not, by the names in it: a line or two for the ledger. Pure.
+"""Summarizes the differences between two routing documents, by the names of their entries. Without I/O.
 
-It compares what is written; the difference in meaning is the configuration language's to tell.
+It compares the documents as written; whether two spellings mean the same is not considered.
 """
 
 from collections.abc import Generator, Iterable
@@ -8,60 +8,64 @@
 
 from pathturn.config.document import Document
 
-MOST_NAMES = 5  # of each kind; the rest is counted
-SLICE = 64
+MAX_NAMES = 5  # of each kind of difference; the rest is only counted
+ENTRIES_PER_SLICE = 64
 
 
 def diff_documents(old: Document, new: Document) -> Generator[None, None, tuple[str, ...]]:
-    """Such as "routes: 2 added (a, b), 1 changed (c)"; in slices, as there may be ten thousand of them."""
-    told = []
-    for part in ("pools", "routes", "limits"):
-        before, after = (yield from _named(getattr(old, part))), (yield from _named(getattr(new, part)))
+    """Return lines such as "routes: 2 added (a, b), 1 changed (c)".
+
+    Yields between slices of work, as a document may have ten thousand routes.
+    """
+    lines = []
+    for section in ("pools", "routes", "limits"):
+        before = yield from _entries_by_name(getattr(old, section))
+        after = yield from _entries_by_name(getattr(new, section))
         kinds: dict[str, list[str]] = {"added": [], "changed": [], "removed": [], "moved": []}
-        for turn, (name, (place, value)) in enumerate(after.items()):
-            if turn % SLICE == 0:
+        for count, (name, (position, value)) in enumerate(after.items()):
+            if count % ENTRIES_PER_SLICE == 0:
                 yield
             if name not in before:
                 kinds["added"].append(name)
             elif before[name][1] != value:
                 kinds["changed"].append(name)
-            elif part == "routes" and before[name][0] != place:
+            elif section == "routes" and before[name][0] != position:
                 kinds["moved"].append(name)
-        for turn, name in enumerate(before):
-            if turn % SLICE == 0:
+        for count, name in enumerate(before):
+            if count % ENTRIES_PER_SLICE == 0:
                 yield
             if name not in after:
                 kinds["removed"].append(name)
         if kinds["added"] or kinds["removed"]:
-            kinds["moved"] = []  # what others' coming and going pushed on has not itself been moved
-        found = [f"{len(names)} {kind} ({_few(names)})" for kind, names in kinds.items() if names]
+            kinds["moved"] = []  # positions that shifted because of added or removed routes are no moves
+        found = [f"{len(names)} {kind} ({_first_names(names)})" for kind, names in kinds.items() if names]
         if found:
-            told.append(f"{part}: {', '.join(found)}")
-        for names in (before, after):  # freed in one go ten thousand take as long as ten slices
+            lines.append(f"{section}: {', '.join(found)}")
+        # Freeing ten thousand entries at once takes as long as ten slices.
+        for names in (before, after):
             while names:
-                for _ in range(min(SLICE, len(names))):
+                for _ in range(min(ENTRIES_PER_SLICE, len(names))):
                     names.popitem()
                 yield
-    told += [name for name in ("default", "change") if getattr(old, name) != getattr(new, name)]
-    return tuple(told) or ("nothing",)
+    lines += [name for name in ("default", "change") if getattr(old, name) != getattr(new, name)]
+    return tuple(lines) or ("nothing",)
 
 
 def affects_batches(what: tuple[str, ...]) -> bool:
-    """Whether batches may be treated otherwise: not where nothing but the policy of changes is another
-    one."""
+    """Return whether the difference can affect batches; one in the change policy alone cannot."""
     return any(line not in ("nothing", "change") for line in what)
 
 
-def _named(part: Any) -> Generator[None, None, dict[str, tuple[int, Any]]]:
-    rows: Iterable = part.items() if isinstance(part, dict) else ((each.name, each) for each in part)
-    found = {}
-    for place, (name, value) in enumerate(rows):
-        if place % SLICE == 0:
+def _entries_by_name(section: Any) -> Generator[None, None, dict[str, tuple[int, Any]]]:
+    rows: Iterable = section.items() if isinstance(section, dict) else ((each.name, each) for each in section)
+    entries = {}
+    for position, (name, value) in enumerate(rows):
+        if position % ENTRIES_PER_SLICE == 0:
             yield
-        found[name] = (place, value)
-    return found
+        entries[name] = (position, value)
+    return entries
 
 
-def _few(names: list[str]) -> str:
-    more = len(names) - MOST_NAMES
-    return ", ".join(names[:MOST_NAMES]) + (f" and {more} more" if more > 0 else "")
+def _first_names(names: list[str]) -> str:
+    more = len(names) - MAX_NAMES
+    return ", ".join(names[:MAX_NAMES]) + (f" and {more} more" if more > 0 else "")
--- a/pathturn/change/ledger.py
+++ b/pathturn/change/ledger.py
@@ -1,10 +1,9 @@
-"""The ledger: generations, changes and their steps in an embedded store, each step durable before it takes
-effect.
+"""The ledger: generations, changes and their steps in SQLite, each step durable before it takes effect.
 
-SQLite with a write-ahead log, opened by one process alone and synced at each commit: a commit is one append,
-whose frames are checksummed by the store, so that a kill anywhere in it leaves the state before or the one
-after. On top of that each row carries a checksum of its own, against a bit that turned later, and the file
-its version. What cannot be trusted is refused whole, with one line.
+The database uses a write-ahead log, is locked by one process, and is synced at each commit. A commit is one
+append of checksummed frames, so a crash at any point leaves either the state before or the state after. In
+addition each row has a checksum of its own, which detects later corruption, and the file records its format
+version. A file that fails any of these checks is rejected as a whole with a one-line message.
 """
 
 import sqlite3
@@ -20,8 +19,11 @@
 from pathturn.config.document import Document
 from pathturn.config.read import Unusable, parse, read
 
-FORMAT, APPLICATION = 1, 0x70617468  # "path": tells our files from others'
-MOST_CHANGES = 1_000  # older ones are dropped, with their generations
+FORMAT_VERSION = 1
+APPLICATION_ID = 0x70617468  # "path" in ASCII; distinguishes ledgers from other programs' SQLite files
+MAX_CHANGES = 1_000  # older changes are deleted, and generations that only they name
+LOCK_TIMEOUT_S = 1.0
+CHECKSUM_BYTES = 16
 SCHEMA = """
 CREATE TABLE generations (number INTEGER PRIMARY KEY, document BLOB NOT NULL, sum BLOB NOT NULL);
 CREATE TABLE changes (seq INTEGER PRIMARY KEY, id TEXT NOT NULL UNIQUE, state TEXT NOT NULL, record BLOB NOT
@@ -34,48 +36,55 @@
 
 
 class LedgerUnusableError(Exception):
-    """The file is not a ledger that can be trusted; its text says what is wrong and what to do."""
+    """The ledger can't be opened or read; the text says what is wrong and how to fix it."""
 
 
 class LedgerWriteError(Exception):
-    """A step could not be made durable, so that it must not take effect."""
+    """A step could not be made durable and must not take effect."""
 
 
 class Step(NamedTuple):
+    """A change as it was when it entered a state or canary step at `at_us`."""
+
     at_us: int
     change: Change
 
 
+# Fixes by words of SQLite's error messages.
 FIXES = {
-    "locked": "another process has it, and each gateway needs one of its own",
+    "locked": "another process has it open; each gateway needs a ledger of its own",
     "unable to open": "make its folder, writable for this user",
     "readonly": "make the file and its folder writable for this user",
-    "full": "make room on its disk",
+    "full": "free space on its disk",
 }
 
 
 def _fix(fault: str) -> str:
     return next(
-        (fix for word, fix in FIXES.items() if word in fault), "move the file away to begin a new ledger"
+        (fix for word, fix in FIXES.items() if word in fault), "move the file away to start a new ledger"
     )
 
 
 def checksum(*parts: object) -> bytes:
+    """Return a checksum of the parts, as stored in the `sum` columns."""
     return blake2b(
         b"\x00".join(part if isinstance(part, bytes) else str(part).encode() for part in parts),
-        digest_size=16,
+        digest_size=CHECKSUM_BYTES,
     ).digest()
 
 
 class Ledger:
-    """Methods block for as long as the disk takes: call them from a thread of their own. `probe` is called
-    with a name at each point where a kill would find another state; tests end the process there."""
+    """Access to the ledger file.
+
+    The methods block on disk I/O, so call them from a worker thread. `probe` is called with a name at each
+    point where a crash would leave a different state on disk; tests copy the files there.
+    """
 
     def __init__(self, path: Path, probe: Callable[[str], None] = lambda point: None) -> None:
         self.path, self.probe = path, probe
         try:
             self.connection = sqlite3.connect(
-                path, isolation_level=None, check_same_thread=False, timeout=1.0
+                path, isolation_level=None, check_same_thread=False, timeout=LOCK_TIMEOUT_S
             )
             self._open()
         except sqlite3.Error as fault:
@@ -85,31 +94,31 @@
         for pragma in ("locking_mode=EXCLUSIVE", "journal_mode=WAL", "synchronous=FULL"):
             self.connection.execute("PRAGMA " + pragma)
         (version,) = self.connection.execute("PRAGMA user_version").fetchone()
-        (kind,) = self.connection.execute("PRAGMA application_id").fetchone()
+        (application_id,) = self.connection.execute("PRAGMA application_id").fetchone()
         (tables,) = self.connection.execute("SELECT count(*) FROM sqlite_master").fetchone()
         if not tables and not version:
             self._create()
-        elif kind != APPLICATION:
-            raise LedgerUnusableError(f"{self.path}: another program's file; name a new one")
-        elif version != FORMAT:
+        elif application_id != APPLICATION_ID:
+            raise LedgerUnusableError(f"{self.path}: another program's file; name a new file")
+        elif version != FORMAT_VERSION:
             raise LedgerUnusableError(
-                f"{self.path}: format {version}, not {FORMAT}; use the program that wrote it"
+                f"{self.path}: format {version}, not {FORMAT_VERSION}; use the program that wrote it"
             )
         (found,) = self.connection.execute("PRAGMA quick_check").fetchone()
         if found != "ok":
-            raise LedgerUnusableError(f"{self.path}: damaged ({found}); move it away to begin a new ledger")
+            raise LedgerUnusableError(f"{self.path}: damaged ({found}); move it away to start a new ledger")
 
     def _create(self) -> None:
         with self._write("create"):
             for statement in SCHEMA.split(";"):
                 if statement.strip():
                     self.connection.execute(statement)
-            self.connection.execute(f"PRAGMA application_id={APPLICATION}")
-            self.connection.execute(f"PRAGMA user_version={FORMAT}")
+            self.connection.execute(f"PRAGMA application_id={APPLICATION_ID}")
+            self.connection.execute(f"PRAGMA user_version={FORMAT_VERSION}")
 
     @contextmanager
     def _write(self, name: str) -> Iterator[None]:
-        """All of it or nothing; LedgerWriteError where the disk would not take it."""
+        """Run the body in one transaction; raises LedgerWriteError if it can't be committed."""
         try:
             self.probe(f"{name}:before")
             self.connection.execute("BEGIN IMMEDIATE")
@@ -128,113 +137,118 @@
     def close(self) -> None:
         self.connection.close()
 
-    # What is there.
+    # Reading.
     def current_generation(self) -> int:
-        """The generation in force; 0 in a new ledger."""
+        """Return the number of the current generation; 0 in a new ledger."""
         row = self._row("SELECT generation, sum FROM present")
         if row is None:
             return 0
-        self._checked(row[1], "present", row[0])
+        self._verify(row[1], "present", row[0])
         return row[0]
 
     def document(self, number: int) -> Document:
+        """Return the routing document of a generation."""
         row = self._row("SELECT document, sum FROM generations WHERE number = ?", number)
         if row is None:
             raise LedgerUnusableError(
-                f"{self.path}: generation {number} is missing; restore the file, or begin a new one"
+                f"{self.path}: generation {number} is missing; restore the file, or start a new one"
             )
-        self._checked(row[1], number, row[0])
+        self._verify(row[1], number, row[0])
         try:
             return read(parse(row[0]))
         except Unusable as fault:
-            raise LedgerUnusableError(f"{self.path}: generation {number} cannot be used: {fault}") from fault
+            raise LedgerUnusableError(f"{self.path}: generation {number} is invalid: {fault}") from fault
 
     def find_change(self, identity: str) -> Change | None:
+        """Return the change with this id, if there is one."""
         row = self._row("SELECT record, sum FROM changes WHERE id = ?", identity)
-        return None if row is None else self._change(*row)
+        return None if row is None else self._decode(*row)
 
     def open_change(self) -> Change | None:
+        """Return a change that is neither kept nor rolled back, if there is one."""
         row = self._row("SELECT record, sum FROM changes WHERE state NOT IN ('kept', 'undone')")
-        return None if row is None else self._change(*row)
+        return None if row is None else self._decode(*row)
 
     def history(self, most: int = 50) -> list[Change]:
-        """The latest first."""
+        """Return up to `most` changes, latest first."""
         rows = self.connection.execute("SELECT record, sum FROM changes ORDER BY seq DESC LIMIT ?", (most,))
-        return [self._change(*row) for row in rows]
+        return [self._decode(*row) for row in rows]
 
     def steps(self, identity: str) -> list[Step]:
+        """Return the recorded steps of a change, oldest first."""
         rows = self.connection.execute(
             "SELECT at_us, record, sum FROM steps WHERE id = ? ORDER BY seq", (identity,)
         )
-        return [Step(at, self._change(record, check)) for at, record, check in rows]
+        return [Step(at_us, self._decode(record, row_sum)) for at_us, record, row_sum in rows]
 
     def generations(self) -> list[int]:
+        """Return the numbers of the stored generations."""
         return [row[0] for row in self.connection.execute("SELECT number FROM generations ORDER BY number")]
 
     def last_generation(self) -> int:
-        """The highest number ever given: those of undone changes are not given again."""
+        """Return the highest number assigned so far; numbers of rolled-back changes are not reused."""
         row = self._row("SELECT max(number) FROM generations")
         return row[0] or 0
 
     def _row(self, query: str, *values: object) -> tuple | None:
         return self.connection.execute(query, values).fetchone()
 
-    def _checked(self, check: bytes, *parts: object) -> None:
-        if checksum(*parts) != check:
+    def _verify(self, row_sum: bytes, *parts: object) -> None:
+        if checksum(*parts) != row_sum:
             raise LedgerUnusableError(
-                f"{self.path}: a checksum is wrong; restore the file, or move it away to begin anew"
+                f"{self.path}: a row fails its checksum; restore the file, or move it away to start "
+                "a new ledger"
             )
 
-    def _change(self, record: bytes, check: bytes) -> Change:
-        self._checked(check, record)
+    def _decode(self, record: bytes, row_sum: bytes) -> Change:
+        self._verify(row_sum, record)
         return msgspec.json.decode(record, type=Change, dec_hook=lambda kind, value: kind(value))
 
-    # What is written: one transaction each.
+    # Writing, one transaction for each method.
     def initialize(self, document: bytes) -> int:
-        """The document that a new ledger begins with, kept without a watch: nothing came before it."""
+        """Store the first document of a new ledger as generation 1; it has no trial or predecessor."""
         with self._write("initialize"):
             self._put_document(1, document)
-            self._put_present(1)
+            self._put_current_generation(1)
         return 1
 
     def record_staged(self, change: Change, document: bytes) -> None:
-        """The document in its canonical form."""
+        """Store a staged change and its document in canonical form."""
         with self._write("staged"):
             self._put_document(change.generation, document)
-            self._put(change)
+            self._put_change(change)
 
     def record_step(self, change: Change) -> None:
-        """One step of a change; where it is kept its generation is the one in force from here on."""
+        """Store one step of a change; a change that is kept makes its generation the current one."""
         with self._write(change.state):
-            self._put(change)
+            self._put_change(change)
             if change.state == "kept":
-                self._put_present(change.generation)
+                self._put_current_generation(change.generation)
             if not change.open:
                 self._prune()
 
     def recover(self, now_us: int) -> Change | None:
-        """After a stop at any point: what was not kept is undone, and the generation before it is in
-        force."""
-        ended = None
-        # More than one where the disk did not take an undo and a later change was staged all the same.
-        while (left := self.open_change()) is not None:
-            ended = roll_back(left, now_us, f"the gateway ended while it was {left.state}")
-            self.record_step(ended)
-        return ended
-
-    def _put(self, change: Change) -> None:
+        """Roll back what the last process left open; return the last change rolled back, if any."""
+        rolled_back = None
+        # Several are open if a rollback could not be written and another change was staged after it.
+        while (change := self.open_change()) is not None:
+            rolled_back = roll_back(change, now_us, f"the gateway ended while the change was {change.state}")
+            self.record_step(rolled_back)
+        return rolled_back
+
+    def _put_change(self, change: Change) -> None:
         record = msgspec.json.encode(
             change, enc_hook=lambda value: int(value) if isinstance(value, int) else float(value)
         )
-        check = checksum(record)
+        row_sum = checksum(record)
         self.connection.execute(
             "INSERT INTO changes (id, state, record, sum) VALUES (?, ?, ?, ?) ON CONFLICT (id) DO UPDATE SET "
             "state = excluded.state, record = excluded.record, sum = excluded.sum",
-            (change.id, change.state, record, check),
+            (change.id, change.state, record, row_sum),
         )
         self.connection.execute(
             "INSERT INTO steps (id, at_us, record, sum) VALUES (?, ?, ?, ?)",
-            (change.id, change.since_us, record, check),
+            (change.id, change.since_us, record, row_sum),
         )
 
     def _put_document(self, number: int, data: bytes) -> None:
@@ -242,22 +256,21 @@
             "INSERT INTO generations VALUES (?, ?, ?)", (number, data, checksum(number, data))
         )
 
-    def _put_present(self, number: int) -> None:
+    def _put_current_generation(self, number: int) -> None:
         self.connection.execute(
             "INSERT OR REPLACE INTO present VALUES (1, ?, ?)", (number, checksum("present", number))
         )
 
     def _prune(self) -> None:
-        """Keeps the latest changes, and of the generations those that they name, the present and the
-        highest."""
+        """Keep the latest changes, the generations they refer to, the current one and the highest."""
         self.connection.execute(
-            "DELETE FROM changes WHERE seq <= (SELECT max(seq) FROM changes) - ?", (MOST_CHANGES,)
+            "DELETE FROM changes WHERE seq <= (SELECT max(seq) FROM changes) - ?", (MAX_CHANGES,)
         )
         self.connection.execute("DELETE FROM steps WHERE id NOT IN (SELECT id FROM changes)")
-        least = self._row("SELECT record FROM changes ORDER BY seq LIMIT 1")
-        if least is not None:
-            oldest = msgspec.json.decode(least[0])["base"]
+        oldest = self._row("SELECT record FROM changes ORDER BY seq LIMIT 1")
+        if oldest is not None:
+            oldest_base = msgspec.json.decode(oldest[0])["base"]
             self.connection.execute(
                 "DELETE FROM generations WHERE number < ? AND number NOT IN (SELECT generation FROM present)",
-                (oldest,),
+                (oldest_base,),
             )
--- a/tests/test_change.py
+++ b/tests/test_change.py
@@ -183,7 +183,7 @@
 
 
 def test_the_past_is_bounded_and_sorted_by_what_a_change_touches() -> None:
-    lately = RecentOutcomes(span_us=10 * SECOND, most=100)
+    lately = RecentOutcomes(max_age_us=10 * SECOND, max_outcomes=100)
     for number in range(300):
         told = batch_attributes("look", None, None, number % 2, str(number))
         lately.add(number * SECOND // 4, told, BatchOutcome("look", "returned", False, 5, 1.0))
@@ -261,7 +261,7 @@
 
 def test_two_processes_do_not_share_a_ledger(tmp_path) -> None:
     book = life(tmp_path / "l")
-    with pytest.raises(LedgerUnusableError, match="locked; another process has it"):
+    with pytest.raises(LedgerUnusableError, match="locked; another process has it open"):
         Ledger(tmp_path / "l")
     with pytest.raises(LedgerUnusableError, match="make its folder"):
         Ledger(tmp_path / "none" / "l")
