--- a/pathturn/adapter/__main__.py
+++ b/pathturn/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the adapter on standard input and output."""
+"""Run the simulator adapter on standard input and output."""
 
 import sys
 
--- a/pathturn/adapter/codec.py
+++ b/pathturn/adapter/codec.py
@@ -1,4 +1,5 @@
-"""The wire codec: one line in, one line out, an instance of the decision module behind each gateway."""
+"""Codec of the simulator's protocol: one JSON line in, one JSON line out, one instance of the decision module
+per simulated gateway."""
 
 import sys
 from math import inf
@@ -9,6 +10,7 @@
 from pathturn.core import interface as names
 from pathturn.process.settings import build_dispatcher
 
+# Outcomes of a dispatch, by the simulator's name.
 OUTCOMES = {
     "ok": names.RETURNED,
     "error": names.ERRORED,
@@ -19,86 +21,108 @@
     "cancelled": names.CANCELLED,
     "moot": names.UNSENT,
 }
+# Bits of an INGRESS message's marks.
+MARK_HAS_ESTIMATE = 1
+MARK_REPEAT = 2
+# The cost in an ANSWER message: run time in the upper bits, peak memory in the lower ones.
+COST_MEMORY_BITS = 12
+COST_MEMORY_MASK = 4095
+COST_WORK_UNIT_US = 1000
+COST_MEMORY_UNIT_MB = 4
 
+EXIT_MALFORMED_INPUT = 2
 
-class Malformed(Exception):
-    """A line that the wire's page does not allow."""
 
+class MalformedLineError(Exception):
+    """An input line that the protocol does not allow."""
 
-class Front:
-    """One gateway's id maps, and the writer that its decisions go into."""
+
+class SimulatedGateway:
+    """One simulated gateway: maps the simulator's ids to the indices of its decision module, queues events
+    for the next round, and collects the decisions as protocol steps."""
 
     def __init__(self, seed: int, config: dict[str, Any]) -> None:
         self.steps: list[list] = []
         self.events: list[tuple] = []
         self.dispatcher, groups = build_dispatcher(seed, config)
         self.group_index = {name: index for index, name in enumerate(groups)}
-        self.tells_cost = bool(config.get("domain", {}).get("costInAnswers"))
+        self.cost_in_answers = bool(config.get("domain", {}).get("costInAnswers"))
         self.connect_timeout_us = config.get("limits", {}).get("dialTimeoutUs") or inf
-        self.batch_of: dict[int, int] = {}
-        self.rid: list[int] = []
-        self.out: list[int] = []
-        self.over: list[bool] = []
-        self.free: list[int] = []
-        self.released: list[int] = []
-        self.engine_of: dict[int, int] = {}
-        self.node: list[int] = []
-
-    def play(self, now: int) -> list[list]:
-        self.dispatcher.round(now, self.events, self)
+        self.batch_by_request: dict[int, int] = {}
+        # By batch index.
+        self.request_by_batch: list[int] = []
+        self.dispatches_in_flight: list[int] = []
+        self.ended: list[bool] = []
+        self.free_batches: list[int] = []
+        self.released_batches: list[int] = []
+        self.engine_by_node: dict[int, int] = {}
+        self.node_by_engine: list[int] = []
+
+    def run_round(self, now_us: int) -> list[list]:
+        """Pass the queued events to the decision module and return its decisions."""
+        self.dispatcher.round(now_us, self.events, self)
         self.events, steps, self.steps = [], self.steps, []
-        # Given out again only after the round: the module may still name these until it returns.
-        self.free += self.released
-        self.released = []
+        # Indices are reused only after the round, as the module may refer to them until it returns.
+        self.free_batches += self.released_batches
+        self.released_batches = []
         return steps
 
-    def take(self, rid: int) -> int:
-        if self.free:
-            batch = self.free.pop()
-            self.rid[batch], self.out[batch], self.over[batch] = rid, 0, False
+    def add_batch(self, request: int) -> int:
+        """Assign a batch index to a new request."""
+        if self.free_batches:
+            batch = self.free_batches.pop()
+            self.request_by_batch[batch] = request
+            self.dispatches_in_flight[batch] = 0
+            self.ended[batch] = False
         else:
-            batch = len(self.rid)
-            self.rid.append(rid)
-            self.out.append(0)
-            self.over.append(False)
-        self.batch_of[rid] = batch
+            batch = len(self.request_by_batch)
+            self.request_by_batch.append(request)
+            self.dispatches_in_flight.append(0)
+            self.ended.append(False)
+        self.batch_by_request[request] = batch
         return batch
 
-    def engine(self, node: int) -> int:
-        if node not in self.engine_of:
-            self.engine_of[node] = len(self.node)
-            self.node.append(node)
-        return self.engine_of[node]
-
-    def settle(self, batch: int) -> None:
-        if self.over[batch] and not self.out[batch] and self.batch_of.pop(self.rid[batch], None) is not None:
-            self.released.append(batch)
-
-    def end(self, batch: int) -> None:
-        self.over[batch] = True
-        self.settle(batch)
-
-    # The writer's side.
+    def engine_index(self, node: int) -> int:
+        """Return the engine index of a node, assigning one at its first mention."""
+        if node not in self.engine_by_node:
+            self.engine_by_node[node] = len(self.node_by_engine)
+            self.node_by_engine.append(node)
+        return self.engine_by_node[node]
+
+    def release_if_done(self, batch: int) -> None:
+        """Release the index of a batch that has ended and has no dispatch in flight."""
+        if (
+            self.ended[batch]
+            and not self.dispatches_in_flight[batch]
+            and self.batch_by_request.pop(self.request_by_batch[batch], None) is not None
+        ):
+            self.released_batches.append(batch)
+
+    def end_batch(self, batch: int) -> None:
+        self.ended[batch] = True
+        self.release_if_done(batch)
+
+    # Methods of `core.interface.Writer`: each appends one step to the reply.
     def dispatch(self, batch: int, engine: int, time_limit_us: int) -> None:
-        self.out[batch] += 1
-        self.steps.append(["RELAY", self.rid[batch], self.node[engine], time_limit_us])
+        self.dispatches_in_flight[batch] += 1
+        self.steps.append(["RELAY", self.request_by_batch[batch], self.node_by_engine[engine], time_limit_us])
 
     def set_resources(self, batch: int, priority: int, grant_mb: float) -> None:
-        self.steps.append(["LIMITS_FOR", self.rid[batch], priority, grant_mb])
+        self.steps.append(["LIMITS_FOR", self.request_by_batch[batch], priority, grant_mb])
 
     def cancel(self, batch: int, dispatch: int) -> None:
-        self.steps.append(["RETRACT", self.rid[batch], dispatch])
+        self.steps.append(["RETRACT", self.request_by_batch[batch], dispatch])
 
     def push_back(self, batch: int, retry_us: int) -> None:
-        self.steps.append(["DENY", self.rid[batch], retry_us])
-        self.end(batch)
+        self.steps.append(["DENY", self.request_by_batch[batch], retry_us])
+        self.end_batch(batch)
 
     def error(self, batch: int) -> None:
-        self.steps.append(["ABORT", self.rid[batch]])
-        self.end(batch)
+        self.steps.append(["ABORT", self.request_by_batch[batch]])
+        self.end_batch(batch)
 
     def probe(self, engine: int) -> None:
-        self.steps.append(["SAMPLE", self.node[engine]])
+        self.steps.append(["SAMPLE", self.node_by_engine[engine]])
 
     def schedule_wakeup(self, delay_us: int, tag: int) -> None:
         self.steps.append(["SCHEDULE", delay_us, tag])
@@ -109,152 +133,168 @@
     def log(self, text: str) -> None:
         self.steps.append(["PRINT", text])
 
-    # The wire's side: each takes the fields of one message, short ones padded with None.
-    def ingress(self, rid, grade, account, table, left, work, memory, sources, marks) -> None:
-        hinted = (marks or 0) & 1
+    # Handlers of the simulator's messages. Fields come by position; missing ones at the end are None.
+    def on_ingress(self, request, group, customer, key, left_us, work_us, memory_mb, data_set, marks) -> None:
+        has_estimate = (marks or 0) & MARK_HAS_ESTIMATE
         self.events.append(
             (
                 "batch_received",
-                self.take(rid),
-                self.group_index[grade],
-                account,
-                table,
-                left,
-                (work or 0) if hinted else 0,
-                memory or 0,
-                sources,
-                bool((marks or 0) & 2),
+                self.add_batch(request),
+                self.group_index[group],
+                customer,
+                key,
+                left_us,
+                (work_us or 0) if has_estimate else 0,
+                memory_mb or 0,
+                data_set,
+                bool((marks or 0) & MARK_REPEAT),
             )
         )
 
-    def answer(self, rid, trial, node, rc, latency, complete, note, load) -> None:
-        batch = self.batch_of.get(rid)
+    def on_answer(self, request, dispatch, node, result, latency_us, complete, cost, report) -> None:
+        batch = self.batch_by_request.get(request)
         if batch is None:
             return
-        self.out[batch] -= 1
-        told = (note or 0) if self.tells_cost and rc == "ok" else 0
-        outcome = OUTCOMES.get(rc, names.ERRORED)
-        if rc == "connect_failed" and (latency or 0) < self.connect_timeout_us:
-            outcome = names.CONNECT_REFUSED  # one name for both here; a time-out is told by its length
+        self.dispatches_in_flight[batch] -= 1
+        measured_cost = (cost or 0) if self.cost_in_answers and result == "ok" else 0
+        outcome = OUTCOMES.get(result, names.ERRORED)
+        if result == "connect_failed" and (latency_us or 0) < self.connect_timeout_us:
+            # The protocol has one result for a refused and a timed-out connect; only the latency differs.
+            outcome = names.CONNECT_REFUSED
         self.events.append(
             (
                 "dispatch_finished",
                 batch,
-                trial,
-                self.engine(node),
+                dispatch,
+                self.engine_index(node),
                 outcome,
-                latency or 0,
+                latency_us or 0,
                 bool(complete),
-                (told >> 12) * 1000,
-                (told & 4095) * 4,
-                load,
+                (measured_cost >> COST_MEMORY_BITS) * COST_WORK_UNIT_US,
+                (measured_cost & COST_MEMORY_MASK) * COST_MEMORY_UNIT_MB,
+                report,
             )
         )
-        self.over[batch] = self.over[batch] or bool(complete)
-        self.settle(batch)
+        self.ended[batch] = self.ended[batch] or bool(complete)
+        self.release_if_done(batch)
 
-    def notice(self, rid, node, sort, level, trial) -> None:
-        if rid in self.batch_of:
+    def on_notice(self, request, node, kind, level, dispatch) -> None:
+        if request in self.batch_by_request:
             self.events.append(
-                ("engine_notice", self.batch_of[rid], self.engine(node), sort, level or 0, trial or 0)
+                (
+                    "engine_notice",
+                    self.batch_by_request[request],
+                    self.engine_index(node),
+                    kind,
+                    level or 0,
+                    dispatch or 0,
+                )
             )
 
-    def withdrawn(self, rid) -> None:
-        batch = self.batch_of.get(rid)
+    def on_withdrawn(self, request) -> None:
+        batch = self.batch_by_request.get(request)
         if batch is not None:
             self.events.append(("batch_withdrawn", batch))
-            self.end(batch)
+            self.end_batch(batch)
 
-    def pong(self, latency, node, rc, load) -> None:
-        self.events.append(("probe_finished", self.engine(node), rc == "ok", latency or 0, load))
+    def on_pong(self, latency_us, node, result, report) -> None:
+        self.events.append(
+            ("probe_finished", self.engine_index(node), result == "ok", latency_us or 0, report)
+        )
 
-    def fired(self, tag) -> None:
+    def on_fired(self, tag) -> None:
         self.events.append(("timer_fired", tag))
 
-    def announce(self, form, entries) -> None:
-        rows = [
-            (self.engine(node), zone, machine, cell, state, size, started or 0)
-            for node, zone, machine, cell, state, size, started in (_pad(row, 7) for row in entries)
+    def on_announce(self, form, entries) -> None:
+        engines = [
+            (self.engine_index(node), zone, machine, cell, state, size, started_us or 0)
+            for node, zone, machine, cell, state, size, started_us in (_pad(entry, 7) for entry in entries)
         ]
-        self.events.append(("engine_list", form, rows))
+        self.events.append(("engine_list", form, engines))
 
 
-EVENTS = {
-    "INGRESS": (Front.ingress, 9),
-    "ANSWER": (Front.answer, 8),
-    "NOTICE": (Front.notice, 5),
-    "WITHDRAWN": (Front.withdrawn, 1),
-    "PONG": (Front.pong, 4),
-    "FIRED": (Front.fired, 1),
+# Handler and number of fields by message name.
+HANDLERS = {
+    "INGRESS": (SimulatedGateway.on_ingress, 9),
+    "ANSWER": (SimulatedGateway.on_answer, 8),
+    "NOTICE": (SimulatedGateway.on_notice, 5),
+    "WITHDRAWN": (SimulatedGateway.on_withdrawn, 1),
+    "PONG": (SimulatedGateway.on_pong, 4),
+    "FIRED": (SimulatedGateway.on_fired, 1),
 }
 
 
-def _pad(row: list, width: int) -> list:
-    return row[:width] + [None] * (width - len(row))
+def _pad(fields: list, width: int) -> list:
+    return fields[:width] + [None] * (width - len(fields))
 
 
 class Codec:
-    """The process: fronts by gateway number, and the pages of lists that they all refer to."""
+    """State of the adapter: the simulated gateways by number, and the pages of engine lists that their
+    ANNOUNCE messages refer to."""
 
     def __init__(self) -> None:
-        self.fronts: dict[int, Front] = {}
-        self.pages: dict[int, list] = {}
+        self.gateways: dict[int, SimulatedGateway] = {}
+        self.list_pages: dict[int, list] = {}
 
-    def event(self, gateway: int, message: list) -> None:
+    def handle_message(self, number: int, message: list) -> None:
+        """Apply one message to the gateway of that number; drop it if no such gateway runs."""
         name, fields = message[0], message[1:]
-        front = self.fronts.get(gateway)
+        gateway = self.gateways.get(number)
         if name == "CENSUS":
-            self.pages[fields[0]] = fields[1] or []
+            self.list_pages[fields[0]] = fields[1] or []
         elif name == "HELLO":
-            self.fronts[gateway] = Front(fields[0], fields[1])
+            self.gateways[number] = SimulatedGateway(fields[0], fields[1])
         elif name == "POWER_OFF":
-            # It decides only once all of its events are in, so what came before in this line is void with it.
-            self.fronts.pop(gateway, None)
-        elif front is None:
+            # The round runs after the last message of a line, so this also drops the events queued before.
+            self.gateways.pop(number, None)
+        elif gateway is None:
             return
         elif name == "ANNOUNCE":
             form, _, page = _pad(fields, 3)
-            front.announce(form, [] if form == names.LIST_UNAVAILABLE else self.pages.get(page, []))
-        elif name in EVENTS:
-            handler, width = EVENTS[name]
-            handler(front, *_pad(fields, width))
+            gateway.on_announce(form, [] if form == names.LIST_UNAVAILABLE else self.list_pages.get(page, []))
+        elif name in HANDLERS:
+            handler, width = HANDLERS[name]
+            handler(gateway, *_pad(fields, width))
 
-    def line(self, text: bytes) -> bytes:
+    def handle_line(self, line: bytes) -> bytes:
+        """Return the reply to a line. Raise MalformedLineError if the protocol does not allow the line."""
         try:
-            message = orjson.loads(text)
-            now, groups = message["tUs"], message["groups"]
+            request = orjson.loads(line)
+            now_us, groups = request["tUs"], request["groups"]
             replies = []
             for group in groups:
-                gateway = group["gateway"]
-                for event in group["input"]:
-                    self.event(gateway, event)
-                front = self.fronts.get(gateway)
-                if front is not None and front.events and (steps := self.decide(front, now)):
-                    replies.append({"gateway": gateway, "steps": steps})
-        except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, IndexError) as fault:
-            raise Malformed(f"malformed line: {type(fault).__name__}: {fault}") from fault
+                number = group["gateway"]
+                for message in group["input"]:
+                    self.handle_message(number, message)
+                gateway = self.gateways.get(number)
+                if gateway is not None and gateway.events and (steps := self.run_round(gateway, now_us)):
+                    replies.append({"gateway": number, "steps": steps})
+        except (orjson.JSONDecodeError, KeyError, TypeError, ValueError, IndexError) as error:
+            raise MalformedLineError(f"malformed line: {type(error).__name__}: {error}") from error
         return orjson.dumps({"groups": replies}) + b"\n"
 
-    def decide(self, front: Front, now: int) -> list[list]:
+    def run_round(self, gateway: SimulatedGateway, now_us: int) -> list[list]:
+        """Run a round of one gateway; an exception becomes a DIE step."""
         try:
-            return front.play(now)
-        except Exception as fault:  # noqa: BLE001 - the wire wants one line for whatever went wrong inside
-            trace = fault.__traceback__
-            while trace.tb_next:
-                trace = trace.tb_next
-            return [["DIE", f"{type(fault).__name__}: {fault} (line {trace.tb_lineno})"]]
+            return gateway.run_round(now_us)
+        except Exception as error:  # noqa: BLE001 - the simulator expects a reply line after any failure
+            traceback = error.__traceback__
+            while traceback.tb_next:
+                traceback = traceback.tb_next
+            return [["DIE", f"{type(error).__name__}: {error} (line {traceback.tb_lineno})"]]
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
+    """Answer the lines of `source` on `sink` until its end. Return the exit code."""
     codec = Codec()
-    for text in source:
-        if not text.strip():
+    for line in source:
+        if not line.strip():
             continue
         try:
-            reply = codec.line(text)
-        except Malformed as fault:
-            print(f"pathturn.adapter: {fault}", file=sys.stderr)
-            return 2
+            reply = codec.handle_line(line)
+        except MalformedLineError as error:
+            print(f"pathturn.adapter: {error}", file=sys.stderr)
+            return EXIT_MALFORMED_INPUT
         sink.write(reply)
         sink.flush()
     return 0
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -105,7 +105,9 @@
     work_us = 4_000_000  # more than this gateway may send to an engine that is warming up
 
     def steps(now_us: int, *events: list) -> list:
-        reply = codec.line(orjson.dumps({"tUs": now_us, "groups": [{"gateway": 0, "input": list(events)}]}))
+        reply = codec.handle_line(
+            orjson.dumps({"tUs": now_us, "groups": [{"gateway": 0, "input": list(events)}]})
+        )
         return [step for group in orjson.loads(reply)["groups"] for step in group["steps"]]
 
     sent = steps(
