--- a/tests/test_identical_responses.py
+++ b/tests/test_identical_responses.py
@@ -20,8 +20,10 @@
     """Let an engine report the same cost for each query, so that all its results are identical."""
     answer = engine.answer
 
-    def same_cost(link, status, fields=(), body=b"") -> None:
-        answer(link, status, [(name, 5 if name == "X-Cost-Ms" else value) for name, value in fields], body)
+    def same_cost(connection, status, fields=(), body=b"") -> None:
+        answer(
+            connection, status, [(name, 5 if name == "X-Cost-Ms" else value) for name, value in fields], body
+        )
 
     engine.answer = same_cost
 
@@ -32,11 +34,11 @@
     def __init__(self, connection_pool) -> None:
         self.opened = 0
         self.connect = connection_pool.connect
-        connection_pool.connect = self.dial
+        connection_pool.connect = self.count_and_connect
 
-    def dial(self, *told):
+    def count_and_connect(self, *arguments):
         self.opened += 1
-        return self.connect(*told)
+        return self.connect(*arguments)
 
 
 def requests_of(rig) -> int:
@@ -108,8 +110,8 @@
     """An engine whose results have the same cost and different rows needs no more connections or requests."""
     rig.engine("e", "rows:1")
     engine = rig.engines["e"]
-    engine.news = lambda link, ticket: engine.answer(
-        link, 200, [("X-Pages", 1), ("X-Cost-Ms", 5), ("X-Needed-Mb", 1)], own_rows(int(ticket, 16))
+    engine.news = lambda connection, ticket: engine.answer(
+        connection, 200, [("X-Pages", 1), ("X-Cost-Ms", 5), ("X-Needed-Mb", 1)], own_rows(int(ticket, 16))
     )
     rig.start()
     connections = ConnectionCount(rig.gateway.connection_pool)
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -123,14 +123,14 @@
     address = rig.engines["e"].server.address
     connects = []
 
-    class LateConnect(socket.socket):
-        def connect(self, to):
-            super().connect(to)
-            if to == address:
-                connects.append(to)
+    class ConnectsAfterTimeout(socket.socket):
+        def connect(self, target):
+            super().connect(target)
+            if target == address:
+                connects.append(target)
                 raise TimeoutError  # established, but only after the connect timeout
 
-    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", LateConnect)
+    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", ConnectsAfterTimeout)
     rig.call(1, "look")
     rig.returned(1)
     rig.asked("e", "POST", 1)
