--- a/pathturn/change/manager.py
+++ b/pathturn/change/manager.py
@@ -1,7 +1,8 @@
-"""Carries a change through its life: ledger, tables, watch. What to do is told by `states` and `guard`; here
-it is done, each step in the ledger before it takes effect.
+"""Performs the steps of a change: writes the ledger, switches routing tables, and supervises the trial.
 
-Requests come one at a time, also those of the watch itself: whoever comes second finds the first one's state.
+`states` and `canary_analysis` decide what to do; here it is done, each step written to the ledger before it
+takes effect. Requests, also those of the supervision itself, run one at a time under a lock: a later one sees
+the state that the earlier one left.
 """
 
 from collections.abc import Callable, Generator
@@ -38,15 +39,19 @@
 from pathturn.routing.router import Router, batch_attributes, routing_differs
 from pathturn.routing.table import RoutingTable
 
-LOOK_S = 0.25  # how often the watch looks
-DISK_S = 2.0  # an undo waits so long for its place in the ledger; a crash would undo it all the same
-URGENT, USUAL = 1, 5  # priorities of background jobs: what a watched change waits for, and the rest
-LONGEST_TEXT = 2_000  # of who and why
+EVALUATION_INTERVAL_S = 0.25
+# A rollback takes effect after this time even if it can't be written: the next start would roll back anyway.
+ROLLBACK_WRITE_TIMEOUT_S = 2.0
+# Priorities of background jobs: those that a request waits for, and the rest.
+HIGH_PRIORITY, LOW_PRIORITY = 1, 5
+MAX_TEXT_LENGTH = 2_000  # of `id`, `who` and `why`
 
 
 class ChangeRequest(NamedTuple):
-    """A change as an operator asks for it; the same id twice is the same change. The document may be JSON
-    still."""
+    """An operator's request to stage a change. Requests with the same id mean the same change.
+
+    The document is either JSON text or the value decoded from it.
+    """
 
     id: str
     base: int
@@ -56,6 +61,8 @@
 
 
 class ChangeManager:
+    """Stages, tries, keeps and rolls back changes of the routing document; at most one is open at a time."""
+
     def __init__(
         self,
         facade: Facade,
@@ -65,65 +72,79 @@
         clock: Callable[[], int],
         log: Callable[[str], None],
     ) -> None:
-        self.facade, self.ledger, self.scheduler = facade, ledger, scheduler
+        self.facade = facade
+        self.ledger = ledger
+        self.scheduler = scheduler
         self.validation_context = validation_context
-        self.clock, self.log = clock, log
-        self.router, self.recent_outcomes, self.lock = Router(), RecentOutcomes(), RLock()
+        self.clock = clock
+        self.log = log
+        self.router = Router()
+        self.recent_outcomes = RecentOutcomes()
+        self.lock = RLock()
         self.change: Change | None = None
         self.candidate_table: RoutingTable | None = None
         self.analysis: CanaryAnalysis | None = None
-        self.began_us, self.rollback_us, self.stopped = 0, 0, False
+        self.trial_started_us = 0
+        self.rollback_us = 0  # duration of the last rollback
+        self.stopped = False
 
     # Start and stop.
     def start(self, document: Path) -> None:
-        """Before the first batch: what was not kept is undone, then the kept generation is put in force.
-        Raises Unusable, LedgerUnusableError or LedgerWriteError."""
-        ended = self.ledger.recover(self.clock())
-        if ended is not None:
-            self.log(f"change {ended.id} code=undone reason={ended.reason}")
+        """Roll back what the last process left open, then activate the current generation.
+
+        Called before the first batch. `document` is the first generation of a new ledger. Raises Unusable,
+        LedgerUnusableError or LedgerWriteError.
+        """
+        rolled_back = self.ledger.recover(self.clock())
+        if rolled_back is not None:
+            self.log(f"change {rolled_back.id} code=undone reason={rolled_back.reason}")
         number = self.ledger.current_generation()
         if not number:
-            first = self._checked(through(reading(parse(document.read_bytes()))))
+            first = self._validated(through(reading(parse(document.read_bytes()))))
             number = self.ledger.initialize(canonical(first))
         self.router.update_engines(self.facade.engine_registry.engine_entries)
         table = RoutingTable(number, self.ledger.document(number), self.facade.groups)
         through(self.router.compile(table))
         self.router.activate(table)
         self.facade.use_router(self.router, batch_attributes, self.on_batch_end)
-        self.log(f"generation {number} code=in_force routes={len(table.targets)} pools={len(table.pools)}")
+        self.log(f"generation {number} code=activated routes={len(table.targets)} pools={len(table.pools)}")
 
-    def _checked(self, document: Document) -> Document:
+    def _validated(self, document: Document) -> Document:
         faults = through(validate_in_slices(document, self.validation_context()))
         if faults:
             raise Unusable(faults)
         return document
 
     def run(self) -> None:
+        """Evaluate the trial periodically, without end."""
         while True:
-            gevent.sleep(LOOK_S)
+            gevent.sleep(EVALUATION_INTERVAL_S)
             try:
                 self.evaluate_trial()
-            except Exception as fault:  # noqa: BLE001 - a watch that ended would leave a change unwatched for ever
-                self._abandon(f"the watch failed: {type(fault).__name__}: {fault}")
+            except Exception as fault:  # noqa: BLE001 - without this loop a trial would run unsupervised
+                self._roll_back_unevaluated(f"evaluation failed: {type(fault).__name__}: {fault}")
 
     def stop(self) -> None:
-        """What is not kept by now is not kept: as after a crash, though told at once."""
+        """Roll back an open change, as the next start would, and accept no further one."""
         self.stopped = True
-        self.scheduler.cancel_all("the gateway was told to stop")  # else a large document would hold it up
+        self.scheduler.cancel_all("the gateway is stopping")  # jobs on a large document would delay the stop
         with self.lock:
             if self.change is not None:
-                self._undo("the gateway was told to stop")
+                self._roll_back("the gateway is stopping")
 
     # Requests.
     def check(self, raw: Any) -> Document:
-        """Raises Unusable with every fault. Read and checked in the background, as it may be long."""
-        return self._job("check", self._checking(raw))
+        """Parse and validate a document in the background, as it may be large.
+
+        Raises Unusable with all faults.
+        """
+        return self._run_job("check", self._parse_and_validate(raw))
 
-    def _checking(self, raw: Any) -> Generator[None, None, Document]:
+    def _parse_and_validate(self, raw: Any) -> Generator[None, None, Document]:
         if isinstance(raw, (bytes, Raw)):
-            told = yield from parsing(raw)
-            document = yield from reading(told)
-            yield from spend(told)
+            decoded = yield from parsing(raw)
+            document = yield from reading(decoded)
+            yield from spend(decoded)
         else:
             document = yield from reading(raw)
         faults = yield from validate_in_slices(document, self.validation_context())
@@ -132,17 +153,20 @@
         return document
 
     def stage(self, request: ChangeRequest) -> Change:
-        """Raises Unusable or ChangeRefusedError; a change that is known is given back as it stands."""
-        _sane(request)
+        """Stage a change; a change that is known already is returned in its present state.
+
+        Raises Unusable or ChangeRefusedError.
+        """
+        _validate_request(request)
         document = self.check(request.document)
         with self.lock:
             known = self.ledger.find_change(request.id)
             if known is not None:
-                return self._same(known, document)
+                return self._same_change(known, document)
             if self.stopped:
-                raise ChangeRefusedError("stopping", "the gateway is stopping; ask the next one")
+                raise ChangeRefusedError("stopping", "the gateway is stopping; ask again after its restart")
             number = self.ledger.last_generation() + 1
-            wanted = Change(
+            requested = Change(
                 request.id,
                 request.base,
                 number,
@@ -152,50 +176,53 @@
                 document.change,
                 self.clock(),
             )
-            change = states.stage(wanted, self.router.current.generation, self.change)
-            what = self._job("what", diff_documents(self.router.current.document, document))
+            change = states.stage(requested, self.router.current.generation, self.change)
+            what = self._run_job("diff", diff_documents(self.router.current.document, document))
             change = replace(change, what=what)
             table = RoutingTable(change.generation, document, self.facade.groups)
-            self._job("compile", self.router.compile(table))
-            self._write(self.ledger.record_staged, change, self._job("encode", encoding(document)))
+            self._run_job("compile", self.router.compile(table))
+            self._write(self.ledger.record_staged, change, self._run_job("encode", encoding(document)))
             self.change, self.candidate_table = change, table
-            self._tell(change)
+            self._log_state(change)
             return change
 
-    def _same(self, known: Change, document: Document) -> Change:
+    def _same_change(self, known: Change, document: Document) -> Change:
         if known.generation in self.ledger.generations():
-            kept = canonical(self.ledger.document(known.generation))
-            if checksum(kept) != checksum(canonical(document)):
+            stored = canonical(self.ledger.document(known.generation))
+            if checksum(stored) != checksum(canonical(document)):
                 raise ChangeRefusedError(
-                    "reused", f"change {known.id!r} is another document; give this one an id of its own"
+                    "reused", f"change {known.id!r} has another document; give this one an id of its own"
                 )
         return known
 
     def apply(self, identity: str) -> Change:
-        """Begins the trial; the answer is the change in its first step. One that has begun is given back."""
+        """Start the trial and return the change in its first step; one on trial is returned as it is."""
         with self.lock:
             if self.change is None or self.change.id != identity:
-                return self._known(identity)
+                return self._find_change(identity)
             if self.change.state != "staged":
                 return self.change
             table, current = self.candidate_table, self.router.current
-            baseline = self._job(
-                "before",
+            baseline = self._run_job(
+                "baseline",
                 self.recent_outcomes.baseline(
                     lambda attributes: routing_differs(current, table, attributes), self.clock()
                 ),
             )
-            begun = states.start(self.change, self.clock())
-            self._write(self.ledger.record_step, begun)
-            self._begin(begun, baseline)
-            return begun
+            started = states.start(self.change, self.clock())
+            self._write(self.ledger.record_step, started)
+            self._start_trial(started, baseline)
+            return started
 
     def undo(self, identity: str, who: str, why: str) -> Change:
-        """At once. One that has been undone, by whomever, is given back; one that was kept is refused."""
+        """Roll back an open change at once.
+
+        One that is rolled back already is returned as it is. Raises ChangeRefusedError if it is kept.
+        """
         with self.lock:
             if self.change is not None and self.change.id == identity:
-                return self._undo(f"undone by {who[:LONGEST_TEXT]}: {why[:LONGEST_TEXT]}")
-            known = self._known(identity)
+                return self._roll_back(f"rolled back by {who[:MAX_TEXT_LENGTH]}: {why[:MAX_TEXT_LENGTH]}")
+            known = self._find_change(identity)
             if known.state == "kept":
                 raise ChangeRefusedError(
                     "kept",
@@ -204,133 +231,144 @@
                 )
             return known
 
-    def _known(self, identity: str) -> Change:
+    def _find_change(self, identity: str) -> Change:
         known = self.ledger.find_change(identity)
         if known is None:
             raise ChangeRefusedError("unknown", f"no change {identity!r}; see `change history`")
         return known
 
     def history(self, most: int) -> list[Change]:
+        """Return up to `most` changes, latest first."""
         with self.lock:
             return gevent.get_hub().threadpool.apply(self.ledger.history, (most,))
 
     def status(self) -> dict[str, Any]:
-        trial = self.change is not None and self.change.state in ("canary", "watched")
-        findings = self.analysis.findings() if trial and self.analysis else []
+        """Return the current generation, the open change and its findings, and the size of each pool."""
+        on_trial = self.change is not None and self.change.state in ("canary", "watched")
+        findings = self.analysis.findings() if on_trial and self.analysis else []
         return {
             "generation": self.router.current.generation,
             "change": None if self.change is None else change_as_dict(self.change),
-            "share": self.router.candidate_share if trial else 0.0,
-            "due_us": self._due_us() if trial else 0,
+            "share": self.router.candidate_share if on_trial else 0.0,
+            "due_us": self._remaining_us() if on_trial else 0,
             "findings": [finding._asdict() | {"harm": finding.is_harm} for finding in findings],
-            "unjudged": self.analysis.unjudged_groups() if trial and self.analysis else [],
+            "unjudged": self.analysis.unjudged_groups() if on_trial and self.analysis else [],
             "pools": {
                 name: {"engines": len(pool.members), "ready": len(pool.ready)}
                 for name, pool in self.router.current.pools.items()
             },
         }
 
-    def _due_us(self) -> int:
+    def _remaining_us(self) -> int:
+        """Return the time left in the canary step or the watch."""
         change = self.change
-        span = change.policy.canary[change.step].hold if change.state == "canary" else change.policy.watch
-        return max(0, change.since_us + span - self.clock())
+        duration_us = (
+            change.policy.canary[change.step].hold if change.state == "canary" else change.policy.watch
+        )
+        return max(0, change.since_us + duration_us - self.clock())
 
-    # The watch.
+    # Supervision of the trial.
     def on_batch_end(self, batch: Batch, end: End) -> None:
-        """How a batch ended, told by the facade; batches that were withdrawn count too."""
-        now, told = self.clock(), batch.attributes
-        ended = _batch_outcome(batch, end, now, self.facade.groups[batch.group])
-        self.recent_outcomes.add(now, told, ended)
-        if self.analysis is None or batch.received_us < self.began_us:
+        """Record the outcome of a batch, also of a withdrawn one; the facade calls this."""
+        now = self.clock()
+        attributes = batch.attributes
+        outcome = _batch_outcome(batch, end, now, self.facade.groups[batch.group])
+        self.recent_outcomes.add(now, attributes, outcome)
+        if self.analysis is None or batch.received_us < self.trial_started_us:
             return
-        kind = routing_differs(self.router.current, self.candidate_table, told)
-        served = batch.destination.generation == self.change.generation
+        is_affected = routing_differs(self.router.current, self.candidate_table, attributes)
+        by_candidate = batch.destination.generation == self.change.generation
         self.analysis.add(
-            now - self.began_us, (TREATMENT if served else CONTROL) if kind else UNRELATED, ended
+            now - self.trial_started_us,
+            (TREATMENT if by_candidate else CONTROL) if is_affected else UNRELATED,
+            outcome,
         )
 
     def evaluate_trial(self) -> None:
-        """One look of the watch: what the guard sees, and what becomes of the change by it."""
+        """Evaluate the canary analysis, and advance, keep or roll back the change accordingly."""
         with self.lock:
             change = self.change
             if change is None or self.analysis is None:
                 return
-            judged = states.evaluate(change, self.clock(), self._observe())
-            if judged is change:
+            evaluated = states.evaluate(change, self.clock(), self._observe())
+            if evaluated is change:
                 return
-            if judged.state == "undone":
-                self._undo(judged.reason, judged.figures)
+            if evaluated.state == "undone":
+                self._roll_back(evaluated.reason, evaluated.figures)
                 return
             try:
-                self._write(self.ledger.record_step, judged)
+                self._write(self.ledger.record_step, evaluated)
             except LedgerWriteError as fault:
-                self._undo(f"the ledger cannot be written: {fault}")
+                self._roll_back(f"cannot write the ledger: {fault}")
                 return
-            self._take(judged)
+            self._enter_state(evaluated)
 
     def _observe(self) -> Observation:
         findings = self.analysis.findings()
         worst = max((each for each in findings if each.is_harm), key=Finding.severity, default=None)
         unjudged = self.analysis.unjudged_groups()
         if not self.analysis.affected_groups() and affects_batches(self.change.what):
-            unjudged = ["anything that it touches"]  # none came: that is no proof of no harm
+            unjudged = ["any affected traffic"]  # the absence of traffic doesn't prove the absence of harm
         return Observation(None if worst is None else str(worst), tuple(unjudged), tuple(map(str, findings)))
 
-    # Steps take effect; no other place changes the tables.
-    def _begin(self, change: Change, baseline: Baseline) -> None:
-        self.analysis, self.began_us = CanaryAnalysis(baseline, change.policy), self.clock()
-        self._take(change)
+    # Putting steps into effect; nothing else switches routing tables.
+    def _start_trial(self, change: Change, baseline: Baseline) -> None:
+        self.analysis = CanaryAnalysis(baseline, change.policy)
+        self.trial_started_us = self.clock()
+        self._enter_state(change)
 
-    def _take(self, change: Change) -> None:
+    def _enter_state(self, change: Change) -> None:
         self.change = change
         if change.state == "kept":
-            old = self.router.current
+            replaced = self.router.current
             self.router.activate(self.candidate_table)
-            self._over(old)
+            self._clear_change(replaced)
         else:
             self.router.set_candidate(self.candidate_table, change.share, change.id)
-        self._tell(change)
+        self._log_state(change)
 
-    def _undo(self, reason: str, figures: tuple[str, ...] = ()) -> Change:
-        asked = self.clock()
+    def _roll_back(self, reason: str, figures: tuple[str, ...] = ()) -> Change:
+        started_us = self.clock()
         if not figures and self.analysis is not None:
             figures = tuple(map(str, self.analysis.findings()))
-        undone = states.roll_back(self.change, asked, reason, figures)
+        rolled_back = states.roll_back(self.change, started_us, reason, figures)
         try:
-            with gevent.Timeout(DISK_S, LedgerWriteError("the disk takes too long")):
-                self._write(self.ledger.record_step, undone)
+            with gevent.Timeout(
+                ROLLBACK_WRITE_TIMEOUT_S,
+                LedgerWriteError(f"not written within {ROLLBACK_WRITE_TIMEOUT_S:g} s"),
+            ):
+                self._write(self.ledger.record_step, rolled_back)
         except LedgerWriteError as fault:
-            self.log(f"change {undone.id} code=undo_unwritten fault={fault}")
-        # One turn of the loop: no round and no batch between the tables and what goes back to them.
+            self.log(f"change {rolled_back.id} code=rollback_not_written fault={fault}")
+        # No other greenlet runs here: no batch is dispatched between the switch and the rerouting.
         self.router.activate(self.router.current)
-        moved = self.facade.reroute_unsent(undone.generation)
-        self._over(self.candidate_table)
-        self.rollback_us = self.clock() - asked
-        self.log(f"change {undone.id} code=taken_back batches={moved} us={self.rollback_us}")
-        self._tell(undone)
-        return undone
-
-    def _abandon(self, reason: str) -> None:
-        self.log(f"change code=watch_failed reason={reason}")
+        rerouted = self.facade.reroute_unsent(rolled_back.generation)
+        self._clear_change(self.candidate_table)
+        self.rollback_us = self.clock() - started_us
+        self.log(f"change {rolled_back.id} code=batches_rerouted batches={rerouted} us={self.rollback_us}")
+        self._log_state(rolled_back)
+        return rolled_back
+
+    def _roll_back_unevaluated(self, reason: str) -> None:
+        self.log(f"change code=evaluation_failed reason={reason}")
         with self.lock:
             if self.change is not None:
-                self._undo(reason)
+                self._roll_back(reason)
 
-    def _over(self, useless: RoutingTable) -> None:
-        """The change has ended; the table that nobody goes by any more is freed in the background, as a large
-        one takes twenty milliseconds."""
+    def _clear_change(self, unused: RoutingTable) -> None:
+        """Close the change, and free the unused table in the background: a large one takes 20 ms."""
         self.change = self.candidate_table = self.analysis = None
         with suppress(JobQueueFull):
-            self.scheduler.submit("free", useless.free(), USUAL)
+            self.scheduler.submit("free", unused.free(), LOW_PRIORITY)
 
-    # The disk in a thread of its own, long work in the background.
+    # Disk I/O runs in the thread pool, long computations as background jobs.
     def _write(self, write: Callable[..., None], *values: Any) -> None:
         gevent.get_hub().threadpool.apply(write, values)
 
-    def _job(self, name: str, steps: Generator[None, None, Any]) -> Any:
-        return self.scheduler.submit(name, steps, URGENT).result.get()
+    def _run_job(self, name: str, steps: Generator[None, None, Any]) -> Any:
+        return self.scheduler.submit(name, steps, HIGH_PRIORITY).result.get()
 
-    def _tell(self, change: Change) -> None:
+    def _log_state(self, change: Change) -> None:
         self.log(
             f"change {change.id} code={change.state} generation={change.generation} "
             f"share={change.share:g}" + (f" reason={change.reason}" if change.reason else "")
@@ -338,7 +376,7 @@
 
 
 def change_as_dict(change: Change) -> dict[str, Any]:
-    """A change as answers and tables show it."""
+    """Return a change as shown in answers of the control socket."""
     return {
         "id": change.id,
         "state": change.state,
@@ -356,19 +394,20 @@
     }
 
 
-def _sane(request: ChangeRequest) -> None:
+def _validate_request(request: ChangeRequest) -> None:
     for name in ("id", "who", "why"):
         value = getattr(request, name)
-        if type(value) is not str or not value.strip() or len(value) > LONGEST_TEXT:
+        if type(value) is not str or not value.strip() or len(value) > MAX_TEXT_LENGTH:
             raise ChangeRefusedError(
-                "usage", f"{name} is missing or too long; a change names its id, who and why"
+                "usage", f"{name} is missing or too long; a change needs id, who and why"
             )
     if type(request.base) is not int:
-        raise ChangeRefusedError("usage", "base is missing; name the generation that the change is based on")
+        raise ChangeRefusedError("usage", "base is missing; give the generation that the change is based on")
 
 
 def _batch_outcome(batch: Batch, end: End, now: int, group: names.ServiceGroup) -> BatchOutcome:
-    took, how = now - batch.received_us, end.outcome or "given_up"
-    late = how != names.RETURNED or took > batch.response_goal_us
-    worth = 0.0 if how != names.RETURNED else group.late_utility if late else 1.0
-    return BatchOutcome(batch.group, how, late, took, min(1.0, worth))
+    latency_us = now - batch.received_us
+    outcome = end.outcome or "given_up"
+    late = outcome != names.RETURNED or latency_us > batch.response_goal_us
+    utility_share = 0.0 if outcome != names.RETURNED else group.late_utility if late else 1.0
+    return BatchOutcome(batch.group, outcome, late, latency_us, min(1.0, utility_share))
