--- a/pathturn/standins/clients.py
+++ b/pathturn/standins/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: they send batches over connections of their own and count how each one ended."""
+"""Stand-in clients and a load generator: they send batches and count their outcomes."""
 
 from base64 import b64encode
 from collections import Counter, defaultdict
@@ -11,36 +11,41 @@
 import orjson
 from gevent import socket
 
-PUSHED_BACK = -32066
-MOST_OPEN = 30  # on a connection, under the gateway's own bound
+PUSHED_BACK = -32066  # JSON-RPC error code
+MAX_OPEN_BATCHES = 30  # on a connection; less than the gateway allows
 
 
 class Caller:
-    """One connection; `tickets` are shared by all callers of a run, as engines know a batch by its ticket."""
+    """One connection to a gateway that sends batches and records their outcomes.
 
-    def __init__(self, address: tuple[str, int], tickets: Iterable[int]) -> None:
-        self.link, self.tickets, self.number = socket.create_connection(address), iter(tickets), 0
-        self.open: dict[int, tuple[str, str | None, float]] = {}
+    The clients of a run share the iterator of trace numbers, as engines identify a batch by its trace."""
+
+    def __init__(self, address: tuple[str, int], trace_numbers: Iterable[int]) -> None:
+        self.connection = socket.create_connection(address)
+        self.trace_numbers = iter(trace_numbers)
+        self.last_id = 0
+        self.open: dict[int, tuple[str, str | None, float]] = {}  # by id: service group, nonce, time sent
         self.ends: dict[str, Counter] = defaultdict(Counter)
         self.answers: Counter = Counter()
         self.took: dict[str, list[float]] = defaultdict(list)
-        self.pauses: list[int] = []
+        self.retry_after_ms: list[int] = []
         self.returned: list[str] = []
-        self.reader = gevent.spawn(self._read)
+        self.reader = gevent.spawn(self._read_responses)
 
     def send(
         self,
         group: str,
-        patience_ms: int = 1000,
+        time_limit_ms: int = 1000,
         key: str | None = None,
         nonce: str | None = None,
         customer: str | None = None,
         data_set: int = 3,
     ) -> int:
-        self.number += 1
+        """Send a batch with an optional ordering key; return its id."""
+        self.last_id += 1
         params = {
-            "trace": f"{next(self.tickets):016x}",
-            "patience": patience_ms,
+            "trace": f"{next(self.trace_numbers):016x}",
+            "patience": time_limit_ms,
             "weight": 20,
             "est_mb": 1,
             "data": b64encode(f"SELECT 1 FROM sales_{data_set}.orders".encode()).decode(),
@@ -48,98 +53,109 @@
         for name, value in (("entity", key), ("nonce", nonce), ("customer", customer)):
             if value is not None:
                 params[name] = value
-        self.open[self.number] = (group, nonce, monotonic())
-        self.link.sendall(
-            orjson.dumps({"jsonrpc": "2.0", "id": self.number, "method": group, "params": params}) + b"\n"
+        self.open[self.last_id] = (group, nonce, monotonic())
+        self.connection.sendall(
+            orjson.dumps({"jsonrpc": "2.0", "id": self.last_id, "method": group, "params": params}) + b"\n"
         )
-        return self.number
+        return self.last_id
 
-    def abort(self, number: int) -> None:
-        self.open.pop(number, None)
-        message = {"jsonrpc": "2.0", "method": "abort", "params": {"id": number}}
-        self.link.sendall(orjson.dumps(message) + b"\n")
+    def abort(self, batch_id: int) -> None:
+        """Withdraw a batch; a response that still arrives is not counted as its outcome."""
+        self.open.pop(batch_id, None)
+        message = {"jsonrpc": "2.0", "method": "abort", "params": {"id": batch_id}}
+        self.connection.sendall(orjson.dumps(message) + b"\n")
 
-    def _read(self) -> None:
-        for line in self.link.makefile("rb"):
+    def _read_responses(self) -> None:
+        for line in self.connection.makefile("rb"):
             message = orjson.loads(line)
             self.answers[message["id"]] += 1
-            group, nonce, sent = self.open.pop(message["id"], (None, None, 0.0))
+            group, nonce, sent_at = self.open.pop(message["id"], (None, None, 0.0))
             if group is None:
                 continue
             error = message.get("error")
-            how = (
+            outcome = (
                 "returned"
                 if error is None
                 else ("pushed_back" if error["code"] == PUSHED_BACK else "errored")
             )
-            self.ends[group][how] += 1
-            self.took[group].append(monotonic() - sent)
-            if how == "returned" and nonce is not None:
+            self.ends[group][outcome] += 1
+            self.took[group].append(monotonic() - sent_at)
+            if outcome == "returned" and nonce is not None:
                 self.returned.append(nonce)
-            if how == "pushed_back":
-                self.pauses.append(error.get("data", {}).get("pause", 0))
+            if outcome == "pushed_back":
+                self.retry_after_ms.append(error.get("data", {}).get("pause", 0))
 
     def close(self) -> None:
-        self.link.close()
+        self.connection.close()
         self.reader.kill()
 
 
 class Crowd:
-    """Several callers at a rate: lookups, once-only batches and keyed loads whose nonces tell key and
-    turn."""
+    """Sends batches over several clients at a mean rate: lookups, once-only batches, and loads with an
+    ordering key, whose nonces contain the key and a sequence number."""
 
     def __init__(self, address: tuple[str, int], callers: int = 4, keys: int = 6, seed: int = 1) -> None:
-        tickets, self.chance = count(1), Random(seed)
-        self.callers = [Caller(address, tickets) for _ in range(callers)]
-        self.keys, self.turns, self.sent = keys, Counter(), Counter()
+        trace_numbers = count(1)
+        self.random = Random(seed)
+        self.callers = [Caller(address, trace_numbers) for _ in range(callers)]
+        self.key_count = keys
+        self.sequence_numbers: Counter = Counter()
+        self.sent: Counter = Counter()
 
     def run(self, rate: float, seconds: float) -> None:
+        """Send batches with exponentially distributed intervals, `rate` a second on average."""
         end = monotonic() + seconds
         while monotonic() < end:
-            gevent.sleep(self.chance.expovariate(rate))
-            self.one()
-
-    def one(self) -> None:
-        roll = self.chance.random()
-        caller = self.callers[self.chance.randrange(len(self.callers))]
-        if roll < 0.2:
-            self.load(f"k{self.chance.randrange(self.keys)}")
-        elif len(caller.open) < MOST_OPEN:
-            group = "pay" if roll < 0.3 else "look"
+            gevent.sleep(self.random.expovariate(rate))
+            self.send_one()
+
+    def send_one(self) -> None:
+        """Send a batch of a random service group: a fifth are loads, a tenth once-only."""
+        fraction = self.random.random()
+        caller = self.callers[self.random.randrange(len(self.callers))]
+        if fraction < 0.2:
+            self.load(f"k{self.random.randrange(self.key_count)}")
+        elif len(caller.open) < MAX_OPEN_BATCHES:
+            group = "pay" if fraction < 0.3 else "look"
             self.sent[group] += 1
             nonce = f"pay{self.sent['pay']}-1" if group == "pay" else None
             caller.send(
                 group,
                 nonce=nonce,
-                customer=f"farm{self.chance.randrange(8)}",
-                data_set=self.chance.randrange(1, 9),
+                customer=f"farm{self.random.randrange(8)}",
+                data_set=self.random.randrange(1, 9),
             )
 
     def load(self, key: str) -> None:
-        # A key's batches on one connection: over two, nobody could say which was first.
+        """Send the next load of an ordering key."""
+        # All batches of a key use one connection: between two connections their order would be undefined.
         caller = self.callers[sum(key.encode()) % len(self.callers)]
-        if len(caller.open) >= MOST_OPEN:
+        if len(caller.open) >= MAX_OPEN_BATCHES:
             return
-        self.turns[key] += 1
+        self.sequence_numbers[key] += 1
         self.sent["load"] += 1
-        caller.send("load", 4000, key, f"{key}-{self.turns[key]}")
+        caller.send("load", 4000, key, f"{key}-{self.sequence_numbers[key]}")
 
     def settle(self, seconds: float = 6.0) -> None:
+        """Wait until all batches have a response, or that long."""
         end = monotonic() + seconds
         while any(caller.open for caller in self.callers) and monotonic() < end:
             gevent.sleep(0.02)
 
     def ends(self) -> dict[str, Counter]:
-        total: dict[str, Counter] = defaultdict(Counter)
+        """Return the counts of outcomes of all clients, by service group."""
+        totals: dict[str, Counter] = defaultdict(Counter)
         for caller in self.callers:
-            for group, each in caller.ends.items():
-                total[group].update(each)
-        return total
+            for group, counts in caller.ends.items():
+                totals[group].update(counts)
+        return totals
 
     def missing(self) -> int:
+        """Return the number of batches without a response."""
         return sum(len(caller.open) for caller in self.callers)
 
     def doubled_answers(self) -> int:
+        """Return the number of responses after the first to the same batch."""
         return sum(times - 1 for caller in self.callers for times in caller.answers.values())
 
     def close(self) -> None:
@@ -148,22 +164,33 @@
 
 
 def judged(
-    begun: Iterable[tuple[float, str]], returned: Iterable[str], span_s: float = 10.0
+    begun: Iterable[tuple[float, str]], returned: Iterable[str], window_s: float = 10.0
 ) -> dict[str, int]:
-    """What the engines saw of loads and once-only batches. A load's repeat within the span is dropped by its
-    nonce, so that only the first has its effect; one after it counts as `doubled`, as does any repeat of a
-    once-only batch. Turns of a key are in order by their first beginnings."""
-    seen: dict[str, float] = {}
-    repeats = doubled = 0
+    """Count the faults among the executions of loads and once-only batches that engines recorded.
+
+    Engines drop a load whose nonce they have executed within the deduplication window, so that a repeat
+    within it is harmless. A repeat after the window, and any repeat of a once-only batch, is `doubled`.
+    The batches of a key are in order if their first executions are. A batch that returned without an
+    execution counts as `never_begun`."""
+    first_executions: dict[str, float] = {}
+    repeats = 0
+    doubled = 0
     for at, nonce in sorted(begun):
-        repeats += nonce in seen
-        doubled += nonce in seen and (nonce.startswith("pay") or at - seen[nonce] > span_s)
-        seen.setdefault(nonce, at)
-    order: dict[str, int] = {}
-    wrong = 0
-    for nonce in seen:
-        key, turn = nonce.rsplit("-", 1)
-        wrong += int(turn) < order.get(key, 0)
-        order[key] = max(order.get(key, 0), int(turn))
-    lost = sum(nonce not in seen for nonce in returned)
-    return {"repeats": repeats, "doubled": doubled, "out_of_order": wrong, "never_begun": lost}
+        repeats += nonce in first_executions
+        doubled += nonce in first_executions and (
+            nonce.startswith("pay") or at - first_executions[nonce] > window_s
+        )
+        first_executions.setdefault(nonce, at)
+    highest: dict[str, int] = {}
+    out_of_order = 0
+    for nonce in first_executions:
+        key, sequence_number = nonce.rsplit("-", 1)
+        out_of_order += int(sequence_number) < highest.get(key, 0)
+        highest[key] = max(highest.get(key, 0), int(sequence_number))
+    never_executed = sum(nonce not in first_executions for nonce in returned)
+    return {
+        "repeats": repeats,
+        "doubled": doubled,
+        "out_of_order": out_of_order,
+        "never_begun": never_executed,
+    }
--- a/pathturn/standins/demo.py
+++ b/pathturn/standins/demo.py
@@ -1,5 +1,5 @@
-"""A gateway between stand-ins for some seconds, with a live line and a table of what became of the
-batches."""
+"""Runs a gateway between stand-in clients and engines for some seconds, with a progress line and a table of
+the batches' outcomes."""
 
 import sys
 from pathlib import Path
@@ -14,8 +14,11 @@
 from pathturn.standins.clients import Crowd, judged
 from pathturn.standins.farm import Farm, installed, spare_address
 
-RATE, WARM_S, LINE_S = 60.0, 5.0, 0.5
-HOW = ("returned", "pushed_back", "errored")
+BATCHES_PER_S = 60.0
+WARM_UP_S = 5.0  # traffic before the harmful change
+REFRESH_INTERVAL_S = 0.5
+SHUTDOWN_TIMEOUT_S = 3
+OUTCOMES = ("returned", "pushed_back", "errored")
 DOCUMENT = {
     "version": 1,
     "pools": {"halls": {"zones": ["a", "b"]}, "attic": {"zones": ["attic"]}},
@@ -26,30 +29,31 @@
 
 
 def run(seconds: float, harm: bool) -> int:
-    """The exit code: 0 if each batch got one answer, and a harmful change was undone where one was asked
-    for."""
+    """Run the demo and return the exit code: 0 if each batch got exactly one response and, where `harm` asks
+    for a harmful change, that change was rolled back."""
     with TemporaryDirectory() as folder:
-        farm, address = _farm(), spare_address()
+        farm = _farm()
+        address = spare_address()
         host, port = address
         gateway = GatewayProcess(farm.configuration(f"{host}:{port}"), installed(Path(folder), DOCUMENT))
         gateway.log.muted = True
         gateway.server.start()
-        parts = [gevent.spawn(gateway.run)]
+        greenlets = [gevent.spawn(gateway.run)]
         crowd = Crowd(address)
-        parts.append(gevent.spawn(crowd.run, RATE, seconds))
-        parts.append(gevent.spawn(_line, crowd, gateway.operator.change_manager, seconds))
+        greenlets.append(gevent.spawn(crowd.run, BATCHES_PER_S, seconds))
+        greenlets.append(gevent.spawn(_show_progress, crowd, gateway.operator.change_manager, seconds))
         if harm:
-            gevent.sleep(min(WARM_S, seconds / 2))
-            _harm(gateway.operator.change_manager)
-        gevent.joinall(parts[1:])
+            gevent.sleep(min(WARM_UP_S, seconds / 2))
+            _apply_harmful_change(gateway.operator.change_manager)
+        gevent.joinall(greenlets[1:])
         crowd.settle()
         change = next(iter(gateway.operator.change_manager.history(1)), None)
-        good = _table(crowd, farm, change) and (not harm or change.state == "undone")
+        passed = _print_summary(crowd, farm, change) and (not harm or change.state == "undone")
         gateway.stop_requested.set()
-        parts[0].join(3)
+        greenlets[0].join(SHUTDOWN_TIMEOUT_S)
         crowd.close()
         farm.stop()
-    return 0 if good else 1
+    return 0 if passed else 1
 
 
 def _farm() -> Farm:
@@ -61,49 +65,52 @@
     return farm
 
 
-def _harm(change_manager: Any) -> None:
+def _apply_harmful_change(change_manager: Any) -> None:
+    """Stage and apply a change that routes batches to the engine that answers all of them with errors."""
     changed = DOCUMENT | {"routes": [DOCUMENT["routes"][0] | {"to": "attic"}]}
     print("\nstaging a change that sends look batches of data sets 1 to 5 to a worn-out engine")
     change_manager.stage(ChangeRequest("demo", 1, "demo", "to show an undo", changed))
     change_manager.apply("demo")
 
 
-def _line(crowd: Crowd, change_manager: Any, seconds: float) -> None:
+def _show_progress(crowd: Crowd, change_manager: Any, seconds: float) -> None:
     end = monotonic() + seconds
-    while (left := end - monotonic()) > 0:
-        ends = crowd.ends()
-        total = {how: sum(each[how] for each in ends.values()) for how in HOW}
+    while (remaining_s := end - monotonic()) > 0:
+        outcomes = crowd.ends()
+        totals = {outcome: sum(counts[outcome] for counts in outcomes.values()) for outcome in OUTCOMES}
         change = change_manager.change
         state = f", change {change.state} at {change.share:.0%}" if change is not None else ""
         print(
-            f"\r{left:4.0f} s left, {sum(crowd.sent.values())} sent, "
-            + ", ".join(f"{count} {how}" for how, count in total.items())
+            f"\r{remaining_s:4.0f} s left, {sum(crowd.sent.values())} sent, "
+            + ", ".join(f"{count} {outcome}" for outcome, count in totals.items())
             + state
-            + " " * 12,
+            + " " * 12,  # overwrites the end of a longer line
             end="",
         )
         sys.stdout.flush()
-        gevent.sleep(LINE_S)
+        gevent.sleep(REFRESH_INTERVAL_S)
     print()
 
 
-def _table(crowd: Crowd, farm: Farm, change: Any) -> bool:
-    ends = crowd.ends()
+def _print_summary(crowd: Crowd, farm: Farm, change: Any) -> bool:
+    """Print the outcomes by service group; return whether each batch got exactly one response and the loads
+    of each key ran in order."""
+    outcomes = crowd.ends()
     print(f"\n{'group':<8}{'sent':>8}{'returned':>10}{'pushed back':>13}{'errored':>9}")
     for group in sorted(crowd.sent):
-        each = ends[group]
+        counts = outcomes[group]
         print(
-            f"{group:<8}{crowd.sent[group]:>8}{each['returned']:>10}{each['pushed_back']:>13}"
-            f"{each['errored']:>9}"
+            f"{group:<8}{crowd.sent[group]:>8}{counts['returned']:>10}{counts['pushed_back']:>13}"
+            f"{counts['errored']:>9}"
         )
-    seen = judged(
+    faults = judged(
         (row for engine in farm.engines.values() for row in engine.begun),
         (nonce for caller in crowd.callers for nonce in caller.returned),
     )
     print(
         f"no answer: {crowd.missing()}, answered twice: {crowd.doubled_answers()}, "
-        f"loads out of order: {seen['out_of_order']}"
+        f"loads out of order: {faults['out_of_order']}"
     )
     if change is not None:
         print(f"change {change.id!r}: {change.state}; {change.reason}")
-    return not crowd.missing() and not crowd.doubled_answers() and not seen["out_of_order"]
+    return not crowd.missing() and not crowd.doubled_answers() and not faults["out_of_order"]
--- a/pathturn/standins/engines.py
+++ b/pathturn/standins/engines.py
@@ -1,5 +1,5 @@
-"""Stand-in engines: they speak the engines' protocol as scripted, on loopback, and remember what they were
-asked."""
+"""Stand-in engines: scripted servers of the engines' protocol on loopback that record the requests they
+receive."""
 
 import struct
 from collections import deque
@@ -12,39 +12,45 @@
 from gevent.server import StreamServer
 
 MOST_ASKED = 100_000
-FULL_PAGE = 1000  # rows of 6 bytes: as large as a page may be
-FORGOTTEN_S = 2.0  # the protocol's figure: a query ends by itself when it is not asked for that long
-# Words by which a batch has its effect, or may have had it for all that anybody can tell.
+FULL_PAGE_ROWS = 1000  # of 6 bytes each: the maximum size of a page
+QUERY_EXPIRY_S = 2.0  # by the protocol an engine cancels a query that has not been polled for this long
+RUNNING_QUERY_MS = 5000
+STATUS_DELAY_S = 0.05  # before a response that a query is still running
+HANG_S = 30
+MIN_COST_MS = 5
+LINGER_RESET = struct.pack("ii", 1, 0)  # with this SO_LINGER, close() resets the connection
+RECEIVE_BYTES = 4096
+# Behaviours with which a batch has its effect, or may have had it as far as a client can tell.
 RUN = frozenset({"rows", "runs", "notes", "reset", "drop", "lost", "error", "hang"})
-GOOD = (
+VALID_RESPONSE = (
     b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\nX-Cost-Ms: 5\r\nX-Needed-Mb: 1\r\nContent-Length: 6\r\n\r\na\tb\t0\n"
 )
-# What a peer may send in place of a good answer; with a None behind it the connection stays open.
+# Malformed responses, in chunks; with None at the end the connection stays open.
 SPOILT = {
     "noise": (bytes(range(128, 180)) + b"\r\n\r\n",),
-    "cut": (GOOD[:-3],),
+    "cut": (VALID_RESPONSE[:-3],),
     "closed": (b"",),
     "mute": (None,),
-    "short": (GOOD.replace(b"th: 6", b"th: 60"), None),
-    "long": (GOOD.replace(b"th: 6", b"th: 5"), None),
-    "minus": (GOOD.replace(b"th: 6", b"th: -1"), None),
-    "page": (GOOD.replace(b"X-Pages", b"X-Page"), None),
-    "huge": (GOOD.replace(b"th: 6", b"th: 3000000000"), *[bytes(60_000)] * 20, None),
+    "short": (VALID_RESPONSE.replace(b"th: 6", b"th: 60"), None),
+    "long": (VALID_RESPONSE.replace(b"th: 6", b"th: 5"), None),
+    "minus": (VALID_RESPONSE.replace(b"th: 6", b"th: -1"), None),
+    "page": (VALID_RESPONSE.replace(b"X-Pages", b"X-Page"), None),
+    "huge": (VALID_RESPONSE.replace(b"th: 6", b"th: 3000000000"), *[bytes(60_000)] * 20, None),
     "endless": (b"HTTP/1.1 200 OK\r\nX-Pages: ", *[b"1" * 60_000] * 20, None),
     "chunks": (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n", None),
     "unbounded": (b"HTTP/1.1 200 OK\r\nX-Pages: 1\r\n\r\na\tb\t", *[b"c" * 60_000] * 20, None),
-    "colon": (GOOD.replace(b"X-Cost-Ms:", b"no colon"), None),
-    "pages": (GOOD.replace(b"ges: 1", b"ges: nan"),),
-    "columns": (GOOD.replace(b"\tb\t", b"\tb "), None),
-    "text": (GOOD.replace(b"\tb\t", b"\t\xff\t"), None),
+    "colon": (VALID_RESPONSE.replace(b"X-Cost-Ms:", b"no colon"), None),
+    "pages": (VALID_RESPONSE.replace(b"ges: 1", b"ges: nan"),),
+    "columns": (VALID_RESPONSE.replace(b"\tb\t", b"\tb "), None),
+    "text": (VALID_RESPONSE.replace(b"\tb\t", b"\t\xff\t"), None),
 }
-# What a good answer may bring beside itself.
+# Valid responses with unusual extras, in the same form.
 MORE = {
-    "early": (b"HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n" + GOOD, None),
-    "twice": (GOOD + GOOD, None),
-    "behind": (GOOD + b"\x00\xa7 noise", None),
+    "early": (b"HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Wait\r\n\r\n" + VALID_RESPONSE, None),
+    "twice": (VALID_RESPONSE + VALID_RESPONSE, None),
+    "behind": (VALID_RESPONSE + b"\x00\xa7 noise", None),
     "figures": (
-        GOOD.replace(b"Ms: 5", b"Ms: 1e999").replace(
+        VALID_RESPONSE.replace(b"Ms: 5", b"Ms: 1e999").replace(
             b"Mb: 1", b"Mb: nan\r\nX-Meter: depth:inf;concurrent:-1e300"
         ),
         None,
@@ -53,7 +59,7 @@
 
 
 class Start(NamedTuple):
-    """One start of a query, as it came."""
+    """One request to start a query, as received."""
 
     at: float
     ticket: str
@@ -62,155 +68,193 @@
 
 
 class StandInEngine:
-    """Speaks the engines' protocol as scripted: a word for each query, the last one for all others."""
+    """Speaks the engines' protocol as scripted: a behaviour for each query in turn, the last one also for all
+    further queries.
+
+    Behaviours, with N a number of pages and MS milliseconds:
+        rows:N      returns N pages of one row each, big:N of the maximum size
+        torn:N      as rows:N, but the first request for a later page gets a truncated response
+        lost        returns the first page; requests for later ones fail
+        runs:MS     runs for that long, then returns one page
+        notes:MS    as runs:MS, with progress notices
+        slow:MS     receives the start with that delay, then runs on
+        full, over  rejects the query because of its load, with status 503 or 504
+        error       fails with status 500
+        reset       resets the connection after the start, and the query ends
+        drop        closes the connection after the start, and the query returns a page when polled
+        odd         returns an invalid number of pages
+        hang        sends no response; mute also ignores cancel requests
+        forgets     answers that the query runs, then resets the connection and has no record of it
+        sends:KIND  sends a response of SPOILT or MORE
+
+    `queries` holds the behaviour and the start time of each query by its ticket."""
 
     def __init__(self, words: Iterable[str]) -> None:
-        self.words, self.queries = list(words) or ["rows:1"], {}
-        # Bounded: the longest stand-in traffic must not fill the memory of whoever measures it.
+        self.words = list(words) or ["rows:1"]
+        self.queries: dict[str, tuple[str, float]] = {}
+        # The records of requests are bounded, so that long runs do not exhaust the memory of a benchmark.
         self.asked: deque[tuple] = deque(maxlen=MOST_ASKED)
-        self.begun: list[tuple[float, str]] = []  # when, and the nonce, of each batch that began to run
+        self.begun: list[tuple[float, str]] = []  # time and nonce of each start of a batch with a nonce
         self.posted: deque[float] = deque(maxlen=MOST_ASKED)
         self.starts: deque[Start] = deque(maxlen=MOST_ASKED)
-        # What ran, the judge of a key's order: service group, begin, end; an end to come while not yet over.
+        # By ticket: service group, start time and end time, from which tests check that batches of one
+        # ordering key do not overlap. The end time of a running query is that of its expiry.
         self.runs: dict[str, list] = {}
         self.torn_deletes = 0
         self.server = StreamServer(("127.0.0.1", 0), self.serve)
         self.server.start()
 
-    def serve(self, link: socket.socket, peer: Any) -> None:
-        while not link.closed:
-            verb, path, fields, body = read_request(link)
-            if not verb:
+    def serve(self, connection: socket.socket, peer: Any) -> None:
+        """Serve the requests of one connection."""
+        while not connection.closed:
+            method, path, headers, body = read_request(connection)
+            if not method:
                 return
-            self.asked.append((verb, path, fields, body))
-            if verb == "POST":
-                ticket, word = fields["x-ticket"], self.words.pop(0) if len(self.words) > 1 else self.words[0]
-                self.starts.append(Start(monotonic(), ticket, fields["x-queue"], word))
-                if word.startswith("slow:"):  # still on its way for all that others can tell
-                    gevent.sleep(int(word[5:]) / 1000)
-                    word = "runs:5000"
-                self.runs[ticket] = [fields["x-queue"], monotonic(), monotonic() + FORGOTTEN_S]
+            self.asked.append((method, path, headers, body))
+            if method == "POST":
+                ticket = headers["x-ticket"]
+                behaviour = self.words.pop(0) if len(self.words) > 1 else self.words[0]
+                self.starts.append(Start(monotonic(), ticket, headers["x-queue"], behaviour))
+                if behaviour.startswith("slow:"):  # to all others the request is still in transit
+                    gevent.sleep(int(behaviour[5:]) / 1000)
+                    behaviour = f"runs:{RUNNING_QUERY_MS}"
+                self.runs[ticket] = [headers["x-queue"], monotonic(), monotonic() + QUERY_EXPIRY_S]
                 self.posted.append(monotonic())
-                if fields.get("x-nonce") and word.partition(":")[0] in RUN:
-                    self.begun.append((monotonic(), fields["x-nonce"]))
-                self.queries[ticket] = (word, monotonic())
-                if word in ("reset", "drop"):
-                    if word == "reset":
+                if headers.get("x-nonce") and behaviour.partition(":")[0] in RUN:
+                    self.begun.append((monotonic(), headers["x-nonce"]))
+                self.queries[ticket] = (behaviour, monotonic())
+                if behaviour in ("reset", "drop"):
+                    if behaviour == "reset":
                         del self.queries[ticket]
-                        link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                    link.close()
+                        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+                    connection.close()
                     return
-                self.news(link, ticket)
-            elif verb == "GET":
-                self.page(link, *path.split("/")[2:])
-            elif verb == "DELETE" and self.torn_deletes:
+                self.news(connection, ticket)
+            elif method == "GET":
+                self.send_page(connection, *path.split("/")[2:])
+            elif method == "DELETE" and self.torn_deletes:
                 self.torn_deletes -= 1
-                link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                link.close()
+                connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+                connection.close()
             elif self.queries.get(path.split("/")[2], ("",))[0] != "mute":
                 self.queries.pop(path.split("/")[2], None)
-                self.over(path.split("/")[2])
-                self.answer(link, 204)
+                self.mark_ended(path.split("/")[2])
+                self.answer(connection, 204)
 
-    def over(self, ticket: str) -> None:
+    def mark_ended(self, ticket: str) -> None:
         if ticket in self.runs:
             self.runs[ticket][2] = min(self.runs[ticket][2], monotonic())
 
     def posts(self) -> list[tuple]:
-        return [each for each in self.asked if each[0] == "POST"]
+        """Return the recorded requests that start a query."""
+        return [request for request in self.asked if request[0] == "POST"]
 
-    def news(self, link: socket.socket, ticket: str) -> None:
-        word, since = self.queries.get(ticket, ("error", 0))
-        kind, _, value = word.partition(":")
+    def news(self, connection: socket.socket, ticket: str) -> None:
+        """Respond to the start or a poll of a query with its state: running, its first page, or an error."""
+        behaviour, started_at = self.queries.get(ticket, ("error", 0))
+        kind, _, argument = behaviour.partition(":")
         if ticket in self.queries:
-            self.runs[ticket][2] = monotonic() + FORGOTTEN_S
+            self.runs[ticket][2] = monotonic() + QUERY_EXPIRY_S
         if kind == "sends":
-            self.queries[ticket] = ("rows:1", since)
-            return self.send(link, {**SPOILT, **MORE}[value])
+            self.queries[ticket] = ("rows:1", started_at)
+            return self.send_chunks(connection, {**SPOILT, **MORE}[argument])
         if kind in ("hang", "mute"):
-            gevent.sleep(30)
-        elif kind == "forgets":  # as where its process was started anew
-            gevent.sleep(0.05)
-            self.queries[ticket] = ("forgotten", since)
-            return self.answer(link, 202)
+            gevent.sleep(HANG_S)
+        elif kind == "forgets":  # as an engine that restarts while the query runs
+            gevent.sleep(STATUS_DELAY_S)
+            self.queries[ticket] = ("forgotten", started_at)
+            return self.answer(connection, 202)
         elif kind == "forgotten":
             del self.queries[ticket]
-            self.over(ticket)
-            link.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            return link.close()
+            self.mark_ended(ticket)
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            return connection.close()
         elif kind in ("runs", "notes"):
-            gevent.sleep(0.05)
-            if (monotonic() - since) * 1000 < int(value):
-                note = [("X-Remark", "done"), ("X-Value", "0.01")] if kind == "notes" else []
-                return self.answer(link, 202, note)
-            kind, value = "rows", "1"
+            gevent.sleep(STATUS_DELAY_S)
+            if (monotonic() - started_at) * 1000 < int(argument):
+                notice = [("X-Remark", "done"), ("X-Value", "0.01")] if kind == "notes" else []
+                return self.answer(connection, 202, notice)
+            kind = "rows"
+            argument = "1"
         elif kind == "drop":
-            kind, value = "rows", "1"
+            kind = "rows"
+            argument = "1"
         if kind == "odd":
-            return self.answer(link, 200, [("X-Pages", "nan")])
+            return self.answer(connection, 200, [("X-Pages", "nan")])
         if kind in ("rows", "lost", "torn", "big"):
-            self.over(ticket)
-            # No two queries take the same to the microsecond, and each says the same again.
-            cost = 5 + int(ticket[-4:], 16) / 1e5
-            told = [
-                ("X-Pages", value or 2),
-                ("X-Cost-Ms", cost),
+            self.mark_ended(ticket)
+            # The cost differs between queries and is the same in each response about one query.
+            cost_ms = MIN_COST_MS + int(ticket[-4:], 16) / 1e5
+            headers = [
+                ("X-Pages", argument or 2),
+                ("X-Cost-Ms", cost_ms),
                 ("X-Needed-Mb", 1),
                 ("X-Meter", "depth:0;concurrent:2"),
             ]
-            return self.answer(link, 200, told, b"a\tb\t0\n" * (FULL_PAGE if kind == "big" else 1))
-        self.over(ticket)
+            return self.answer(
+                connection, 200, headers, b"a\tb\t0\n" * (FULL_PAGE_ROWS if kind == "big" else 1)
+            )
+        self.mark_ended(ticket)
         status = {"full": 503, "over": 504}.get(kind, 500)
-        return self.answer(link, status, [("X-Shed", 1)] if status != 500 else [])
+        return self.answer(connection, status, [("X-Shed", 1)] if status != 500 else [])
 
-    def page(self, link: socket.socket, ticket: str, number: str) -> None:
+    def send_page(self, connection: socket.socket, ticket: str, number: str) -> None:
+        """Respond to a request for a page of a query's result; page 0 polls its state."""
         if number == "0":
-            return self.news(link, ticket)
-        word = self.queries[ticket][0]
-        if word == "lost":
-            return self.answer(link, 500)
-        if word.startswith("torn:"):
-            self.queries[ticket] = (f"rows:{word[5:]}", 0)
-            return self.send(link, SPOILT["short"])
-        rows = FULL_PAGE if word.startswith("big:") else 1
-        return self.answer(link, 200, [("X-Page", number)], f"a\tb\t{number}\n".encode() * rows)
-
-    def send(self, link: socket.socket, pieces: Iterable[bytes | None]) -> None:
+            return self.news(connection, ticket)
+        behaviour = self.queries[ticket][0]
+        if behaviour == "lost":
+            return self.answer(connection, 500)
+        if behaviour.startswith("torn:"):
+            self.queries[ticket] = (f"rows:{behaviour[5:]}", 0)
+            return self.send_chunks(connection, SPOILT["short"])
+        rows = FULL_PAGE_ROWS if behaviour.startswith("big:") else 1
+        return self.answer(connection, 200, [("X-Page", number)], f"a\tb\t{number}\n".encode() * rows)
+
+    def send_chunks(self, connection: socket.socket, chunks: Iterable[bytes | None]) -> None:
+        """Send the chunks as they are and close the connection, unless a None follows them."""
         try:
-            for piece in pieces:
-                if piece is None:
+            for chunk in chunks:
+                if chunk is None:
                     return
-                link.sendall(piece)
+                connection.sendall(chunk)
         except OSError:
-            self.refused = True
-        link.close()
+            self.send_failed = True
+        connection.close()
 
     def answer(
-        self, link: socket.socket, status: int, fields: Iterable[tuple[str, Any]] = (), body: bytes = b""
+        self,
+        connection: socket.socket,
+        status: int,
+        headers: Iterable[tuple[str, Any]] = (),
+        body: bytes = b"",
     ) -> None:
+        """Send a response."""
         head = [
             f"HTTP/1.1 {status} said",
-            *(f"{name}: {value}" for name, value in fields),
+            *(f"{name}: {value}" for name, value in headers),
             f"Content-Length: {len(body)}",
             "",
             "",
         ]
-        link.sendall("\r\n".join(head).encode() + body)
+        connection.sendall("\r\n".join(head).encode() + body)
 
 
-def read_request(link: socket.socket) -> tuple:
+def read_request(connection: socket.socket) -> tuple:
+    """Return method, path, headers by lower-case name, and body of the next request; four times None after
+    the end of the connection."""
     data = b""
     while b"\r\n\r\n" not in data:
         try:
-            piece = link.recv(4096)
+            chunk = connection.recv(RECEIVE_BYTES)
         except OSError:
-            piece = b""
-        if not piece:
+            chunk = b""
+        if not chunk:
             return None, None, None, None
-        data += piece
+        data += chunk
     head, _, body = data.partition(b"\r\n\r\n")
-    first, *rest = head.decode().split("\r\n")
-    fields = {name.lower(): value for name, value in (each.split(": ", 1) for each in rest)}
-    while len(body) < int(fields.get("content-length", 0)):
-        body += link.recv(4096)
-    return *first.split()[:2], fields, body
+    request_line, *header_lines = head.decode().split("\r\n")
+    headers = {name.lower(): value for name, value in (line.split(": ", 1) for line in header_lines)}
+    while len(body) < int(headers.get("content-length", 0)):
+        body += connection.recv(RECEIVE_BYTES)
+    return *request_line.split()[:2], headers, body
--- a/pathturn/standins/farm.py
+++ b/pathturn/standins/farm.py
@@ -1,5 +1,4 @@
-"""A stand-in farm: engines, their directory by DNS, and the configuration of a gateway that serves before
-them."""
+"""A stand-in fleet: engines, their directory by DNS, and the configuration of a gateway before them."""
 
 from pathlib import Path
 from typing import Any
@@ -14,47 +13,52 @@
 from pathturn.standins.strait import Strait
 from pathturn.wire import discovery_protocol
 
-SECOND, ZONE = 1_000_000, "z"
-# (effect, time limit in ms, more settings): what the wire calls repeatable, once-only and referenced batches.
+SECOND_US = 1_000_000
+DEFAULT_ZONE = "z"
+# By service group: effect, time limit in ms, further settings. The effects "retryable", "fragile" and "dedup"
+# stand for repeatable, once-only and referenced batches.
 GROUPS = {
     "look": ("retryable", 1500, {}),
     "pay": ("fragile", 1500, {}),
-    "load": ("dedup", 7000, {"group": "all", "memorySpanUs": 10 * SECOND, "inTurn": True}),
+    "load": ("dedup", 7000, {"group": "all", "memorySpanUs": 10 * SECOND_US, "inTurn": True}),
     "book": ("fragile", 7000, {"inTurn": True}),
     "sum": ("retryable", 7000, {"inTurn": True}),
 }
 
 
 def at(server: StreamServer | DatagramServer) -> str:
+    """Return the address of a server as host:port."""
     host, port = server.address
     return f"{host}:{port}"
 
 
 def spare_address() -> tuple[str, int]:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return probe.getsockname()
+    """Return a loopback address whose port is free; nothing reserves it."""
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        return listener.getsockname()
 
 
 def settings() -> dict[str, Any]:
+    """Return the settings of a gateway before this fleet, with the service groups of GROUPS."""
     return {
         "classes": [
             {
                 "name": name,
                 "promiseUs": 400_000,
-                "deadlineUs": limit * 1000,
+                "deadlineUs": time_limit_ms * 1000,
                 "effect": effect,
                 "worth": 1.0,
                 "lateValue": 1.0,
-                **more,
+                **further_settings,
             }
-            for name, (effect, limit, more) in GROUPS.items()
+            for name, (effect, time_limit_ms, further_settings) in GROUPS.items()
         ],
         "limits": {
             "maxAttempts": 4,
             "cancel": True,
             "dialTimeoutUs": 150_000,
-            "idleCloseUs": 15 * SECOND,
+            "idleCloseUs": 15 * SECOND_US,
             "secondCopies": True,
             "retryAfter": True,
             "maxRetryAfterUs": 500_000,
@@ -70,51 +74,60 @@
 
 
 def installed(folder: Path, document: dict[str, Any], log: str = "plain") -> Installation:
-    """An operator's file with its document in that folder, read as a gateway reads it."""
+    """Write an operator's file and its routing document into a folder; return what a gateway reads."""
     (folder / "document.json").write_bytes(orjson.dumps(document))
-    told = {
+    operator_file = {
         "version": 1,
         "document": "document.json",
         "ledger": "changes.db",
         "control": "control",
         "log": log,
     }
-    (folder / "operator.json").write_bytes(orjson.dumps(told))
+    (folder / "operator.json").write_bytes(orjson.dumps(operator_file))
     return installation(folder / "operator.json")
 
 
 class Farm:
-    """Engines come in by `engine`, change by `change`; `configuration` starts the directory."""
+    """Stand-in engines and their directory. `configuration` starts the directory."""
 
     def __init__(self) -> None:
         self.engines: dict[str, StandInEngine] = {}
         self.states: dict[str, str] = {}
         self.zones: dict[str, str] = {}
-        self.started_ms: dict[str, int] = {}  # the Unix time of a late start
+        self.started_ms: dict[str, int] = {}  # Unix time of the start of engines that warm up
         self.straits: dict[str, Strait] = {}
-        self.serial, self.silent, self.limit, self.settings = 1, False, 200, settings()
+        self.serial = 1
+        self.silent = False  # whether the directory drops all queries
+        self.limit = 200  # of the gateway's sockets
+        self.settings = settings()
         self.names: DatagramServer | None = None
 
-    def engine(self, name: str, *words: str, zone: str = ZONE) -> None:
-        self.engines[name], self.states[name] = StandInEngine(words), "in_service"
+    def engine(self, name: str, *words: str, zone: str = DEFAULT_ZONE) -> None:
+        """Start an engine with these behaviours and list it as in service."""
+        self.engines[name] = StandInEngine(words)
+        self.states[name] = "in_service"
         self.zones[name] = zone
 
     def strait(self, name: str) -> None:
-        """From now on that engine is reached through a network that can be cut."""
+        """Put a proxy before an engine that can simulate a network partition."""
         self.straits[name] = Strait(self.engines[name].server.address)
 
     def place(self, name: str) -> StreamServer:
+        """Return the server at which the directory lists an engine: its proxy or itself."""
         return (self.straits.get(name) or self.engines[name]).server
 
     def change(self, name: str, state: str) -> None:
-        self.states[name], self.serial = state, self.serial + 1
+        """Change an engine's state in the directory and increment the list's serial number."""
+        self.states[name] = state
+        self.serial += 1
 
     def configuration(self, listen: str) -> dict[str, Any]:
+        """Start the directory and return the configuration of a gateway that listens at `listen`."""
         servers = [
             {
                 "id": name,
                 "addr": at(self.place(name)),
-                "zone": self.zones.get(name, ZONE),
+                "zone": self.zones.get(name, DEFAULT_ZONE),
                 "kind": "m",
                 "cell": 0,
                 "state": self.states[name],
@@ -136,25 +149,26 @@
         }
 
     def directory(self, packet: bytes, peer: tuple[str, int]) -> None:
+        """Answer a DNS query with the engines that have not been removed."""
         if self.silent:
             return
         reply = DNSRecord.parse(packet).reply()
         for name in self.engines:
             if self.states[name] != "gone":
                 host, port = self.place(name).address
-                target = f"{name}.{self.zones.get(name, ZONE)}.hosts"
+                target = f"{name}.{self.zones.get(name, DEFAULT_ZONE)}.hosts"
                 draining = int(self.states[name] == "draining")
                 reply.add_answer(
                     RR(discovery_protocol.SERVICE_NAME, QTYPE.SRV, rdata=SRV(draining, 10, port, target))
                 )
                 reply.add_ar(RR(target, QTYPE.A, rdata=A(host)))
-                told = ["kind=m", "cell=0", f"started={self.started_ms.get(name, 0)}"]
-                reply.add_ar(RR(target, QTYPE.TXT, rdata=TXT(told)))
+                attributes = ["kind=m", "cell=0", f"started={self.started_ms.get(name, 0)}"]
+                reply.add_ar(RR(target, QTYPE.TXT, rdata=TXT(attributes)))
         reply.add_auth(RR("farm.lan", QTYPE.SOA, rdata=SOA("ns.lan", "op.lan", (self.serial, 1, 1, 1, 1))))
         self.names.sendto(reply.pack(), peer)
 
     def stop(self) -> None:
         servers = [each.server for each in (*self.straits.values(), *self.engines.values())]
-        for each in [*servers, self.names]:
-            if each is not None:
-                each.stop(0)
+        for server in [*servers, self.names]:
+            if server is not None:
+                server.stop(0)
--- a/pathturn/standins/strait.py
+++ b/pathturn/standins/strait.py
@@ -1,4 +1,5 @@
-"""A stand-in for the network before one engine: it can be cut, and then gives no sign in either direction."""
+"""A TCP proxy before one engine that simulates a network partition: no data and no reset passes in either
+direction."""
 
 import select
 from typing import Any
@@ -8,47 +9,52 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
+RECEIVE_BYTES = 65_536
+
 
 class Strait:
-    """Listens in an engine's place and passes its bytes on. While it is cut connections stay open and silent.
-    Behind the cut the senders' own systems keep what was sent: once it is mended that arrives, unless its
-    sender has torn the connection meanwhile, for a torn one sends nothing again."""
-
-    def __init__(self, behind: tuple[str, int]) -> None:
-        self.behind, self.whole = behind, Event()
-        self.whole.set()
-        self.server = StreamServer(("127.0.0.1", 0), self.carry)
+    """Listens in an engine's place and forwards its traffic. During a partition connections stay open and
+    silent. The senders' kernels keep the data sent meanwhile: it arrives after the partition has healed,
+    unless the sender has closed or reset the connection by then, as a closed socket retransmits nothing."""
+
+    def __init__(self, upstream: tuple[str, int]) -> None:
+        self.upstream = upstream
+        self.connected = Event()
+        self.connected.set()
+        self.server = StreamServer(("127.0.0.1", 0), self.handle)
         self.server.start()
 
     def cut(self) -> None:
-        self.whole.clear()
+        self.connected.clear()
 
     def mend(self) -> None:
-        self.whole.set()
+        self.connected.set()
 
-    def carry(self, link: socket.socket, peer: Any) -> None:
-        self.whole.wait()
-        if link.closed or torn(link):
+    def handle(self, downstream: socket.socket, peer: Any) -> None:
+        """Forward one connection in both directions until either side ends it."""
+        self.connected.wait()
+        if downstream.closed or is_disconnected(downstream):
             return
-        with socket.create_connection(self.behind) as beyond:
-            back = gevent.spawn(self.pump, beyond, link)
-            self.pump(link, beyond)
-            back.kill()
+        with socket.create_connection(self.upstream) as upstream:
+            responses = gevent.spawn(self.forward, upstream, downstream)
+            self.forward(downstream, upstream)
+            responses.kill()
 
-    def pump(self, source: socket.socket, sink: socket.socket) -> None:
+    def forward(self, source: socket.socket, sink: socket.socket) -> None:
         try:
             while True:
                 socket.wait_read(source.fileno())
-                self.whole.wait()
-                if torn(source) or not (piece := source.recv(65_536)):
+                self.connected.wait()
+                if is_disconnected(source) or not (chunk := source.recv(RECEIVE_BYTES)):
                     break
-                sink.sendall(piece)
+                sink.sendall(chunk)
             sink.shutdown(socket.SHUT_WR)
         except (OSError, ValueError):  # closed meanwhile
             sink.close()
 
 
-def torn(link: socket.socket) -> bool:
+def is_disconnected(connection: socket.socket) -> bool:
+    """Return whether the connection was reset or closed in both directions."""
     poll = select.poll()
-    poll.register(link.fileno(), select.POLLIN)
-    return any(found & (select.POLLERR | select.POLLHUP) for _, found in poll.poll(0))
+    poll.register(connection.fileno(), select.POLLIN)
+    return any(events & (select.POLLERR | select.POLLHUP) for _, events in poll.poll(0))
