--- a/pathturn/change/canary_analysis.py
+++ b/pathturn/change/canary_analysis.py
@@ -313,10 +313,10 @@
     def findings(self) -> list[Finding]:
         """Return a finding for each affected group and metric that can be compared."""
         groups = self.affected_groups()
-        findings = [
+        comparisons = [
             self._compare(group, metric, len(groups)) for group in groups for metric in range(len(METRICS))
         ]
-        return [finding for finding in findings if finding is not None]
+        return [finding for finding in comparisons if finding is not None]
 
     def worst_harm(self) -> Finding | None:
         """Return the most severe finding of harm, if there is one."""
--- a/pathturn/change/states.py
+++ b/pathturn/change/states.py
@@ -3,7 +3,8 @@
     checked -> staged -> canary (each step of the policy in turn) -> watched -> kept
                   \\________\\_____________________________\\________-> undone
 
-A change on trial is in `canary` or `watched`; `undone` means rolled back. A document with faults is rejected
+A change on trial is in `canary` or `watched`. In a canary step the new generation routes a share of the
+traffic, during the watch all of it; `undone` means rolled back. A document with faults is rejected
 before it becomes a change. At most one change is open, that is `staged`, `canary` or `watched`. A change that
 is open when the gateway crashes is rolled back at the next start.
 """
@@ -55,7 +56,7 @@
 
     @property
     def share(self) -> float:
-        """Share of the affected traffic that is routed by the new generation."""
+        """Share of the split keys whose batches are routed by the new generation."""
         if self.state == "canary":
             return float(self.policy.canary[self.step].share)
         return 1.0 if self.state in ("watched", "kept") else 0.0
@@ -94,7 +95,7 @@
 
 
 def advance(change: Change, now_us: int) -> Change:
-    """From one canary step to the next, or from the last one to the watch with all traffic."""
+    """Advance from one canary step to the next, or from the last one to the watch."""
     if change.state != "canary":
         raise IllegalTransitionError(f"{change.id} is {change.state}, not in a canary step")
     if change.step + 1 < len(change.policy.canary):
