--- a/tests/test_client_edges.py
+++ b/tests/test_client_edges.py
@@ -16,7 +16,7 @@
 from gevent import socket
 from gevent.event import Event
 from test_close_range import HEARD_S, descriptors, until
-from test_stop import line
+from test_stop import request_line
 
 from pathturn.memory.buffers import BufferPool
 from pathturn.memory.client_connections import ClientConnections
@@ -55,7 +55,7 @@
     """Return a client whose first request has been answered (the answer is unread), and its connection
     object."""
     client = socket.create_connection(rig.listen)
-    client.sendall(line(1))
+    client.sendall(request_line(1))
     connection = connection_of(rig, client)
     until(lambda: connection.batches_received and not connection.answer_greenlets)
     return client, connection
@@ -74,7 +74,7 @@
 
 
 def request_with_key(number: int, key: str) -> bytes:
-    message = orjson.loads(line(number))
+    message = orjson.loads(request_line(number))
     message["params"] |= {"entity": key, "nonce": f"n{number}", "patience": 5000}
     return orjson.dumps(message | {"method": "load"}) + b"\n"
 
@@ -94,13 +94,13 @@
         code = timeout_reason(self, now)
         if self is connection and code == "idle":
             reasons.append(code)
-            client.sendall(line(2))
+            client.sendall(request_line(2))
         return code
 
     monkeypatch.setattr(ClientConnection, "timeout_reason", timeout_reason_then_request)
     connection.last_active_us = 0
     assert [each["id"] for each in read_all_answers(client)] == [1]
-    client.sendall(line(3))  # the client has not closed yet: this one is discarded too
+    client.sendall(request_line(3))  # the client has not closed yet: this one is discarded too
     gevent.sleep(0.05)
     assert reasons == ["idle"] and rig.engines["e"].posted and len(rig.engines["e"].posted) == 1
     client.close()
@@ -117,7 +117,7 @@
     def timeout_reason_then_request(self, now):
         code = timeout_reason(self, now)
         if self is connection and code == "no_request":
-            client.sendall(line(1))
+            client.sendall(request_line(1))
         return code
 
     monkeypatch.setattr(ClientConnection, "timeout_reason", timeout_reason_then_request)
@@ -136,9 +136,9 @@
     rig.start()
     with socket.create_connection(rig.listen) as client:
         connection = connection_of(rig, client)
-        client.sendall(line(1)[:first_bytes])
+        client.sendall(request_line(1)[:first_bytes])
         until(lambda: len(connection.lines.partial) == first_bytes)
-        client.sendall(line(1)[first_bytes:])
+        client.sendall(request_line(1)[first_bytes:])
         connection.last_active_us = connection.partial_line_since_us = 0
         rig.gateway.client_connections.prune()  # in the same event loop iteration: the rest has not been read
         assert [each["id"] for each in read_first_answer(client)] == [1]
@@ -158,7 +158,7 @@
 
     def request_then_half_close(code):
         codes.append(code)
-        client.sendall(line(2))
+        client.sendall(request_line(2))
         half_close_all(code)
 
     monkeypatch.setattr(client_connections, "half_close_all", request_then_half_close)
@@ -180,7 +180,7 @@
 
     def request_then_busy():
         if not requests:
-            requests.append(client.sendall(line(2)))
+            requests.append(client.sendall(request_line(2)))
         return busy()
 
     monkeypatch.setattr(rig.gateway.client_connections, "busy", request_then_busy)
@@ -297,7 +297,7 @@
     "empty_lines": b"\n" * 65_536,
     "invalid_requests": b'{"id":1}\n' * 7000,
     "aborts": b'{"id":1,"method":"abort"}\n' * 2500,
-    "requests": b"".join(line(number) for number in range(1, 500)),
+    "requests": b"".join(request_line(number) for number in range(1, 500)),
     "unterminated_line": b"a" * 8000,
 }
 
@@ -380,7 +380,7 @@
         open_batch(*args),
         open_counts.append(len(connection.open_batches)),
     )
-    client.sendall(b"".join(line(number) for number in range(1, count + 1)))
+    client.sendall(b"".join(request_line(number) for number in range(1, count + 1)))
     answers = []
     reader = client.makefile("rb")
     with gevent.Timeout(5):
@@ -481,7 +481,7 @@
     rig.start()
     with socket.create_connection(rig.listen) as client:
         client.setsockopt(*NODELAY, 1)
-        for byte in line(1):
+        for byte in request_line(1):
             client.sendall(bytes([byte]))
             gevent.sleep(0.001)
         with gevent.Timeout(2), client.makefile("rb") as read:
@@ -496,7 +496,7 @@
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(rig.listen)
         connection_of(rig, client).socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        client.sendall(b"".join(line(number) for number in range(1, 5)))
+        client.sendall(b"".join(request_line(number) for number in range(1, 5)))
         received = b""
         with gevent.Timeout(5):
             while received.count(b"\n") < 4:
@@ -577,7 +577,7 @@
     rig.call(1, "look", patience=1400)
     until(lambda: rig.engines["e"].posted)
     client = socket.create_connection(rig.listen)
-    client.sendall(line(2))
+    client.sendall(request_line(2))
     until(lambda: rig.gateway.connection_pool.waiters)
     slots = rig.gateway.connection_pool.slots
     closed = []
@@ -626,7 +626,7 @@
             client.close()
 
     facade.dispatch = close_at_the_retry
-    client.sendall(line(1))
+    client.sendall(request_line(1))
     until(lambda: len(dispatches) == 2)
     until(lambda: not len(facade.batches))
     gevent.sleep(HEARD_S)
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -17,7 +17,7 @@
 from gevent import socket
 from gevent.event import Event
 from gevent.server import StreamServer
-from test_stop import Site, line
+from test_stop import Site, request_line
 
 from pathturn.process.gateway import GatewayProcess
 from pathturn.process.settings import build_dispatcher
@@ -86,7 +86,7 @@
     """Its reader rests between pieces, since so much is asked for; the end lies behind them."""
     rig.engine("e", "runs:150")
     rig.start()
-    many = b"".join(line(number) for number in range(1, 33))
+    many = b"".join(request_line(number) for number in range(1, 33))
     many += b"".join(UNKNOWN % number for number in range(33, 2000))
     with socket.create_connection(rig.listen) as link:
         link.sendall(many)
@@ -103,7 +103,7 @@
     rig.engine("e", "runs:5000")
     rig.start()
     with socket.create_connection(rig.listen) as link:
-        link.sendall(line(1))
+        link.sendall(request_line(1))
         until(lambda: rig.engines["e"].posted)
         link.sendall(b"".join(UNKNOWN % number for number in range(2, 400)))
         gevent.sleep(0.05)  # by now its reader rests
@@ -133,7 +133,7 @@
     rig.engine("e", "runs:1000")
     rig.start()
     with socket.create_connection(rig.listen) as link:
-        link.sendall(line(1) + b"\x00 no line\n")
+        link.sendall(request_line(1) + b"\x00 no line\n")
         until(lambda: rig.engines["e"].posted)
         gevent.sleep(0.05)
     at = monotonic()
@@ -144,7 +144,7 @@
     rig.engine("e", "runs:200")
     rig.start()
     with socket.create_connection(rig.listen) as link, gevent.Timeout(2):
-        link.sendall(line(1) + b"\x00 no line\n" + line(2))
+        link.sendall(request_line(1) + b"\x00 no line\n" + request_line(2))
         with link.makefile("rb") as read:
             told = [orjson.loads(each) for each in read]
     assert sorted((each["id"] or 0, "result" in each) for each in told) == [(0, False), (1, True)]
@@ -157,7 +157,7 @@
     rig.start()
     client = socket.create_connection(rig.listen)
     dials = held_dials(rig, monkeypatch)
-    client.sendall(line(1))
+    client.sendall(request_line(1))
     until(lambda: dials)
     dials["e"].go.set()
     client.close()
@@ -345,7 +345,7 @@
     rig.start()
     cap = rig.gateway.client_connections.cap
     client = socket.create_connection(rig.listen)
-    client.sendall(line(1))
+    client.sendall(request_line(1))
     until(
         lambda: any(
             each.batches_received and not each.answer_greenlets
@@ -359,7 +359,7 @@
     def crossed(self):
         found = safe_to_close(self)
         if found and self is connection:
-            client.sendall(line(2))
+            client.sendall(request_line(2))
         return found
 
     monkeypatch.setattr(type(connection), "safe_to_close", crossed)
@@ -444,8 +444,8 @@
                 late.send("look")
             until(lambda: sum(late.ends["look"].values()) == 20)
             assert len(site.engines["e"].posts()) == seen and late.ends["look"]["returned"] == 20
-            site.term()
-            site.ended(3.7)
+            site.terminate()
+            site.wait_exited(3.7)
             for each in crowd:
                 each.close()
     finally:
@@ -627,7 +627,7 @@
     running = gevent.spawn(second.run)
     try:
         with socket.create_connection(second.server.address) as link, gevent.Timeout(3):
-            link.sendall(line(1))
+            link.sendall(request_line(1))
             answers = link.makefile("rb")
             assert orjson.loads(answers.readline())["error"]["code"] == jsonrpc.ERRORED
             rig.asked("e", "POST", 1)
@@ -635,7 +635,7 @@
                 rig.call(number, "look")
                 rig.returned(number)
             rig.asked("e", "POST", 4)
-            link.sendall(line(2).replace(b'"look"', b'"load"'))
+            link.sendall(request_line(2).replace(b'"look"', b'"load"'))
             assert orjson.loads(answers.readline())["error"]["code"] == jsonrpc.METHOD_NOT_FOUND
     finally:
         second.server.stop(0)
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -1,4 +1,5 @@
-"""How a gateway ends: what the system accepted for it has one whole answer, judged by the client."""
+"""Shutdown of a gateway process: each request on an accepted connection gets exactly one complete response,
+as counted by the clients."""
 
 import signal
 import subprocess
@@ -18,16 +19,18 @@
 from pathturn.standins.clients import Caller
 from pathturn.standins.farm import Farm, at, spare_address
 
-SLACK_S = 0.12  # the protocol's 50 ms, and what a shared machine may stand still
+SLACK_S = 0.12  # the protocol's 50 ms, and stalls of a shared machine
 
 
 class Site(Farm):
-    """A gateway's process between stand-ins; each client's own count is the judge."""
+    """A gateway process between stand-in clients, engines and directory; clients count their responses."""
 
     def __init__(self, folder) -> None:
         super().__init__()
-        self.config, self.listen, self.callers = folder / "config.json", spare_address(), []
-        self.tickets = iter(range(100, 1 << 30))
+        self.config = folder / "config.json"
+        self.listen = spare_address()
+        self.callers = []
+        self.trace_numbers = iter(range(100, 1 << 30))
 
     @contextmanager
     def process(self):
@@ -36,16 +39,16 @@
             [sys.executable, "-m", "pathturn", "serve", str(self.config)], stderr=subprocess.DEVNULL
         )
         try:
-            self.until_open()
+            self.wait_until_listening()
             yield self
         finally:
             self.running.kill()
             self.running.wait()
-            for each in self.callers:
-                each.close()
+            for caller in self.callers:
+                caller.close()
             self.stop()
 
-    def until_open(self) -> None:
+    def wait_until_listening(self) -> None:
         with gevent.Timeout(20):
             while True:
                 try:
@@ -54,25 +57,29 @@
                     gevent.sleep(0.01)
 
     def caller(self) -> Caller:
-        self.callers.append(Caller(self.listen, self.tickets))
+        self.callers.append(Caller(self.listen, self.trace_numbers))
         return self.callers[-1]
 
-    def term(self) -> float:
+    def terminate(self) -> float:
+        """Send SIGTERM and return the time."""
         self.running.send_signal(signal.SIGTERM)
         return monotonic()
 
-    def ended(self, within: float) -> None:
-        with gevent.Timeout(within, AssertionError("the process goes on")):
+    def wait_exited(self, within: float) -> None:
+        """Wait for the process to exit with code 0, for at most `within` seconds."""
+        with gevent.Timeout(within, AssertionError("the process is still running")):
             while self.running.poll() is None:
                 gevent.sleep(0.01)
         assert self.running.returncode == 0
 
-    def whole(self) -> list[str]:
-        """Each batch written has one whole answer; returns how they ended."""
+    def outcomes(self) -> list[str]:
+        """Assert that each batch sent got exactly one complete response, and return the outcomes."""
         gevent.sleep(0.05)
-        assert [each.open for each in self.callers if each.open] == []
-        assert all(times == 1 for each in self.callers for times in each.answers.values())
-        return [how for each in self.callers for ends in each.ends.values() for how in ends.elements()]
+        assert [caller.open for caller in self.callers if caller.open] == []
+        assert all(count == 1 for caller in self.callers for count in caller.answers.values())
+        return [
+            outcome for caller in self.callers for ends in caller.ends.values() for outcome in ends.elements()
+        ]
 
 
 @pytest.fixture
@@ -80,108 +87,111 @@
     return Site(tmp_path)
 
 
-def test_what_comes_on_open_and_new_connections_after_sigterm_is_answered(site) -> None:
+def test_requests_on_open_and_new_connections_after_sigterm_are_answered(site) -> None:
     site.engine("e", "runs:100")
     with site.process():
-        old = [site.caller() for _ in range(3)]
-        at = site.term()
+        old_callers = [site.caller() for _ in range(3)]
+        signalled_at = site.terminate()
         for step in range(13):
-            gevent.sleep(max(0, at + 0.05 * step - monotonic()))
-            old[step % 3].send("look")
+            gevent.sleep(max(0, signalled_at + 0.05 * step - monotonic()))
+            old_callers[step % 3].send("look")
             if step <= 8:
                 site.caller().send("look")
-        site.ended(3)
-        assert len(site.whole()) == 22
+        site.wait_exited(3)
+        assert len(site.outcomes()) == 22
 
 
-@pytest.mark.parametrize("stood", [0.3, 0.68, 1.0])
-def test_what_lies_in_the_accept_queue_over_a_standstill_is_answered(site, stood) -> None:
-    """The timer that ends the waiting comes before the listener and the sockets are looked at."""
+@pytest.mark.parametrize("stall_end_s", [0.3, 0.68, 1.0])
+def test_requests_in_the_accept_queue_during_a_stall_are_answered(site, stall_end_s) -> None:
+    """Guards against connections that are closed unaccepted. After a stall, the timer that ends the grace
+    period fires before the event loop polls the listener and the sockets."""
     site.engine("e", "rows:1")
     with site.process():
-        old = site.caller()
-        at = site.term()
+        old_caller = site.caller()
+        signalled_at = site.terminate()
         gevent.sleep(0.1)
         site.running.send_signal(signal.SIGSTOP)
         gevent.sleep(0.1)
         for _ in range(5):
             site.caller().send("look")
         for _ in range(3):
-            old.send("look")
-        gevent.sleep(max(0, at + stood - monotonic()))
+            old_caller.send("look")
+        gevent.sleep(max(0, signalled_at + stall_end_s - monotonic()))
         site.running.send_signal(signal.SIGCONT)
-        site.ended(3)
-        assert len(site.whole()) == 8
+        site.wait_exited(3)
+        assert len(site.outcomes()) == 8
 
 
-def test_what_lies_unread_over_a_stall_when_connections_are_ended_is_answered(site) -> None:
-    """Half a line, whole a second later, keeps the gateway waiting until its limit. It has no core from 50 ms
-    before that to 20 ms after; three requests come meanwhile. The limit's timer came before the sockets were
-    looked at, and the connections were ended with the requests unread. Seen in the soak with the gateway
-    stopped for 97 ms now and then (seed 13): 57 requests written 68 to 118 ms before their connections' end,
-    none answered, at `stood still for 126 ms` and `client ... code=stopped` 12 ms later."""
+def test_unread_requests_are_answered_after_a_stall_at_the_close_deadline(site) -> None:
+    """Guards against connections closed with unread requests after a stall.
+
+    Partial lines, each completed a second later, keep the gateway waiting until its deadline. The process is
+    stopped from 50 ms before the deadline to 20 ms after, and three requests arrive meanwhile. The deadline's
+    timer used to fire before the sockets were read. Found by the soak test with the gateway stopped for 97 ms
+    now and then (seed 13): 57 requests written 68 to 118 ms before their connections were closed had no
+    response; a stall of 126 ms was logged, and `client ... code=stopped` 12 ms later."""
     site.engine("e", "rows:1")
-    with site.process(), socket.create_connection(site.listen) as half:
-        old = site.caller()
-        old.send("look")
-        half.sendall(line(1))
-        began = site.term()
-        longest_s = max(each["deadlineUs"] for each in site.settings["classes"]) / 1e6
-        limit = began + SHUTDOWN_GRACE_S + ANSWERS_WRITTEN_SHARE * min(MAX_TIME_LIMIT_S, longest_s)
-        rest = b""
+    with site.process(), socket.create_connection(site.listen) as slow_sender:
+        old_caller = site.caller()
+        old_caller.send("look")
+        slow_sender.sendall(request_line(1))
+        signalled_at = site.terminate()
+        longest_s = max(group["deadlineUs"] for group in site.settings["classes"]) / 1e6
+        deadline = signalled_at + SHUTDOWN_GRACE_S + ANSWERS_WRITTEN_SHARE * min(MAX_TIME_LIMIT_S, longest_s)
+        line_end = b""
         for number, at_s in ((2, 0.5), (3, 1.5), (4, 2.5)):
-            gevent.sleep(began + at_s - monotonic())
-            half.sendall(rest + line(number)[:40])
-            rest = line(number)[40:]
-        gevent.sleep(limit - 0.05 - monotonic())
+            gevent.sleep(signalled_at + at_s - monotonic())
+            slow_sender.sendall(line_end + request_line(number)[:40])
+            line_end = request_line(number)[40:]
+        gevent.sleep(deadline - 0.05 - monotonic())
         site.running.send_signal(signal.SIGSTOP)
         gevent.sleep(0.01)
         for _ in range(3):
-            old.send("look")
-        gevent.sleep(limit + 0.02 - monotonic())
+            old_caller.send("look")
+        gevent.sleep(deadline + 0.02 - monotonic())
         site.running.send_signal(signal.SIGCONT)
-        site.ended(3)
-        assert len(site.whole()) == 4
+        site.wait_exited(3)
+        assert len(site.outcomes()) == 4
 
 
-def test_a_full_connection_and_half_a_line_are_answered_through_a_stop(site) -> None:
+def test_a_full_connection_and_a_partial_line_are_answered_during_shutdown(site) -> None:
     site.engine("e", "runs:400")
     with site.process():
-        full = site.caller()
+        full_caller = site.caller()
         for _ in range(30):
-            full.send("look", 1400)
-        with socket.create_connection(site.listen) as late:
-            late.sendall(line(1) + line(2)[:40])
+            full_caller.send("look", 1400)
+        with socket.create_connection(site.listen) as slow_sender:
+            slow_sender.sendall(request_line(1) + request_line(2)[:40])
             gevent.sleep(0.1)
-            site.term()
+            site.terminate()
             gevent.sleep(0.5)
-            late.sendall(line(2)[40:])
-            with late.makefile("rb") as read:
-                assert sorted(orjson.loads(each)["id"] for each in read) == [1, 2]
-        site.ended(3)
-        assert len(site.whole()) == 30
+            slow_sender.sendall(request_line(2)[40:])
+            with slow_sender.makefile("rb") as responses:
+                assert sorted(orjson.loads(response)["id"] for response in responses) == [1, 2]
+        site.wait_exited(3)
+        assert len(site.outcomes()) == 30
 
 
-def test_large_results_reach_a_slow_reader_through_a_stop(site) -> None:
-    """More than the system's buffers hold, to a client that reads nothing for a second."""
+def test_large_results_reach_a_slow_reader_during_shutdown(site) -> None:
+    """The results exceed the socket buffers, and the client reads nothing for a second."""
     site.engine("e", "big:8")
     with site.process():
-        with socket.socket() as slow:
-            slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            slow.connect(site.listen)
+        with socket.socket() as slow_reader:
+            slow_reader.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            slow_reader.connect(site.listen)
             for number in range(1, 31):
-                slow.sendall(line(number))
+                slow_reader.sendall(request_line(number))
             gevent.sleep(0.4)
-            at = site.term()
+            signalled_at = site.terminate()
             gevent.sleep(1)
-            with slow.makefile("rb") as read:
-                ids = [orjson.loads(each)["id"] for each in read if len(each) > 48_000]
+            with slow_reader.makefile("rb") as responses:
+                ids = [orjson.loads(response)["id"] for response in responses if len(response) > 48_000]
         assert sorted(ids) == list(range(1, 31))
-        site.ended(1)
-        assert monotonic() - at < 3.7
+        site.wait_exited(1)
+        assert monotonic() - signalled_at < 3.7
 
 
-def line(number: int) -> bytes:
+def request_line(number: int) -> bytes:
     params = {
         "trace": f"{number:016x}",
         "patience": 1500,
@@ -192,41 +202,42 @@
     return orjson.dumps({"jsonrpc": "2.0", "id": number, "method": "look", "params": params}) + b"\n"
 
 
-def test_a_key_that_waits_for_a_proof_does_not_outlast_a_stop(site) -> None:
+def test_a_key_that_waits_for_an_unresolved_execution_does_not_delay_shutdown(site) -> None:
+    """The engine is partitioned, so that it cannot confirm the end of the first execution."""
     site.settings["classes"][2]["deadlineUs"] = 20_000_000
     site.engine("e", "runs:15000")
     site.strait("e")
     with site.process():
         caller = site.caller()
-        for turn in range(4):
-            caller.send("load", 18_000, "k", f"k-{turn}")
+        for number in range(4):
+            caller.send("load", 18_000, "k", f"k-{number}")
         gevent.sleep(0.3)
         site.straits["e"].cut()
-        site.term()
-        site.ended(3.65)
-        assert site.whole() == ["pushed_back"] * 4
+        site.terminate()
+        site.wait_exited(3.65)
+        assert site.outcomes() == ["pushed_back"] * 4
 
 
-def test_a_process_that_gets_a_part_of_a_core_loses_nothing_at_a_stop(site) -> None:
-    """It stands still for 150 ms of each 250, and is told twice to stop, and to reload meanwhile."""
+def test_a_throttled_process_answers_all_requests_during_shutdown(site) -> None:
+    """The process is stopped for 150 ms of each 250, and gets SIGTERM twice, with SIGHUP in between."""
     site.engine("e", "runs:100")
     with site.process():
-        jerks = gevent.spawn(jerk, site.running)
-        old = [site.caller() for _ in range(4)]
-        at = site.term()
+        throttling = gevent.spawn(throttle, site.running)
+        old_callers = [site.caller() for _ in range(4)]
+        signalled_at = site.terminate()
         for step in range(24):
-            gevent.sleep(max(0, at + 0.025 * step - monotonic()))
-            old[step % 4].send("look", 1400)
+            gevent.sleep(max(0, signalled_at + 0.025 * step - monotonic()))
+            old_callers[step % 4].send("look", 1400)
             if step <= 14:
                 site.caller().send("look", 1400)
             if step in (7, 15):
                 site.running.send_signal(signal.SIGHUP if step == 7 else signal.SIGTERM)
-        site.ended(3.7)
-        jerks.kill()
-        assert len(site.whole()) == 39
+        site.wait_exited(3.7)
+        throttling.kill()
+        assert len(site.outcomes()) == 39
 
 
-def jerk(running) -> None:
+def throttle(running) -> None:
     with suppress(ProcessLookupError):
         while running.poll() is None:
             running.send_signal(signal.SIGSTOP)
@@ -235,8 +246,8 @@
             gevent.sleep(0.1)
 
 
-def test_a_batch_with_longer_than_the_kill_takes_is_ended_before_it(site) -> None:
-    """SIGKILL comes 3.7 s after SIGTERM however long a batch may last."""
+def test_a_batch_with_a_time_limit_beyond_sigkill_is_ended_before_it(site) -> None:
+    """SIGKILL follows SIGTERM after 3.7 s, whatever the time limits of the batches."""
     site.settings["classes"][0]["deadlineUs"] = 20_000_000
     site.settings["classes"][1]["deadlineUs"] = 20_000_000
     site.settings["classes"][2]["deadlineUs"] = 20_000_000
@@ -245,19 +256,20 @@
         caller = site.caller()
         for group in ("look", "pay"):
             caller.send(group, 18_000)
-        for turn in range(3):
-            caller.send("load", 18_000, "k", f"k-{turn}")
+        for number in range(3):
+            caller.send("load", 18_000, "k", f"k-{number}")
         gevent.sleep(0.3)
-        at = site.term()
+        signalled_at = site.terminate()
         gevent.sleep(0.3)
         caller.send("look", 18_000)
-        site.ended(3.7)
-        assert monotonic() - at > 2
-        assert sorted(site.whole()) == ["errored", *["pushed_back"] * 5]
-        assert len([each for each in site.engines["e"].asked if each[0] == "DELETE"]) == 4
+        site.wait_exited(3.7)
+        assert monotonic() - signalled_at > 2
+        assert sorted(site.outcomes()) == ["errored", *["pushed_back"] * 5]
+        assert len([request for request in site.engines["e"].asked if request[0] == "DELETE"]) == 4
 
 
-def test_a_batch_that_lay_unread_over_a_standstill_is_answered_in_its_time(site) -> None:
+def test_a_batch_unread_during_a_stall_is_answered_within_its_time_limit(site) -> None:
+    """The time limit counts from when the batch arrived, not from when it was read after the stall."""
     site.engine("e", "runs:9000")
     with site.process():
         caller = site.caller()
@@ -269,88 +281,92 @@
         gevent.sleep(0.7)
         site.running.send_signal(signal.SIGCONT)
         gevent.sleep(1)
-        assert site.whole() == ["pushed_back"] * 2
+        assert site.outcomes() == ["pushed_back"] * 2
         assert caller.took["look"][1] < 1.3 + SLACK_S
 
 
 @pytest.mark.parametrize(
-    "bad", [b"", b'{"jsonrpc":"2.0","id":1,', b'{"jsonrpc":"2.0","id":1,"method":"none"}\n' * 99]
+    "input_bytes", [b"", b'{"jsonrpc":"2.0","id":1,', b'{"jsonrpc":"2.0","id":1,"method":"none"}\n' * 99]
 )
-def test_a_client_that_never_closes_does_not_hold_the_stop_up(site, bad) -> None:
-    """Nor does one with half a line, or one that floods and never reads."""
+def test_a_client_that_never_closes_does_not_delay_shutdown(site, input_bytes) -> None:
+    """Nor does a client with a partial line, or one that sends many requests and never reads."""
     site.engine("e", "rows:1")
     with site.process():
-        with socket.create_connection(site.listen) as stranger:
-            stranger.sendall(bad)
+        with socket.create_connection(site.listen) as idle_client:
+            idle_client.sendall(input_bytes)
             site.caller().send("look")
             gevent.sleep(0.2)
-            at = site.term()
-            site.ended(0.7 + 1.5)  # the longest limit, 7 s, counts as 3
-        assert monotonic() - at < 2.2 and site.whole() == ["returned"]
+            signalled_at = site.terminate()
+            site.wait_exited(0.7 + 1.5)  # the longest time limit, 7 s, counts as 3 s
+        assert monotonic() - signalled_at < 2.2 and site.outcomes() == ["returned"]
 
 
-def test_a_client_that_floods_without_end_does_not_hold_the_stop_up(site) -> None:
+def test_a_client_that_floods_continuously_does_not_delay_shutdown(site) -> None:
     site.engine("e", "rows:1")
-    with site.process(), socket.create_connection(site.listen) as stranger:
-        ping = b"".join(b'{"jsonrpc":"2.0","id":%d,"method":"ping"}\n' % number for number in range(1, 2000))
-        flood = gevent.spawn(pour, stranger, ping)
-        gevent.spawn(drain, stranger)
+    with site.process(), socket.create_connection(site.listen) as flooding_client:
+        pings = b"".join(b'{"jsonrpc":"2.0","id":%d,"method":"ping"}\n' % number for number in range(1, 2000))
+        flood = gevent.spawn(send_repeatedly, flooding_client, pings)
+        gevent.spawn(read_and_discard, flooding_client)
         gevent.sleep(0.2)
-        site.term()
-        site.ended(3.65)
+        site.terminate()
+        site.wait_exited(3.65)
         flood.kill()
 
 
-def pour(link, lines: bytes) -> None:
+def send_repeatedly(client, lines: bytes) -> None:
     with suppress(OSError):
         while True:
-            link.sendall(lines)
+            client.sendall(lines)
             gevent.sleep(0)
 
 
-def drain(link) -> None:
+def read_and_discard(client) -> None:
     with suppress(OSError):
-        while link.recv(65_536):
+        while client.recv(65_536):
             pass
 
 
-def test_a_new_configuration_during_the_start_neither_ends_it_nor_is_lost(tmp_path) -> None:
-    """At each phase of the start: a reload names another directory, and that one is asked. Started by the
-    deployment's `run`, as a signal that comes before Python's first line ends the process without it."""
-    sites, asked = [], set()
+def test_a_reload_during_startup_takes_effect_and_does_not_end_the_process(tmp_path) -> None:
+    """In each phase of the startup, a reload names another directory, and the gateway must query that one.
+    The gateway is started by the deployment's `run`: without it, SIGHUP before the first line of Python ends
+    the process."""
+    sites = []
+    queried_steps = set()
     try:
         for step in range(12):
             (folder := tmp_path / str(step)).mkdir()
             site = Site(folder)
             site.engine("e")
-            old = site.configuration("{}:{}".format(*site.listen))
-            site.config.write_bytes(orjson.dumps(old))
+            initial_config = site.configuration("{}:{}".format(*site.listen))
+            site.config.write_bytes(orjson.dumps(initial_config))
             site.running = subprocess.Popen(
                 ["/bin/sh", "-c", f"{gateway_command()} {site.config}"], stderr=subprocess.DEVNULL
             )
             sites.append(site)
             gevent.sleep(0.1 + 0.05 * step)
-            other = DatagramServer(("127.0.0.1", 0), lambda packet, peer, step=step: asked.add(step))
-            other.start()
-            site.others = other
-            site.config.write_bytes(orjson.dumps(old | {"names": at(other)}))
+            new_directory = DatagramServer(
+                ("127.0.0.1", 0), lambda packet, peer, step=step: queried_steps.add(step)
+            )
+            new_directory.start()
+            site.new_directory = new_directory
+            site.config.write_bytes(orjson.dumps(initial_config | {"names": at(new_directory)}))
             site.running.send_signal(signal.SIGHUP)
         with gevent.Timeout(10, False):
-            while len(asked) < len(sites):
+            while len(queried_steps) < len(sites):
                 gevent.sleep(0.02)
-        assert asked == set(range(12)) and all(site.running.poll() is None for site in sites)
+        assert queried_steps == set(range(12)) and all(site.running.poll() is None for site in sites)
     finally:
         for site in sites:
             site.running.kill()
             site.running.wait()
-            site.others.stop(0)
+            site.new_directory.stop(0)
             site.stop()
 
 
 def test_sighup_while_the_interpreter_starts_does_not_end_the_gateway(tmp_path) -> None:
-    """A new configuration may be told to a gateway that has just been started. Until Python had run the first
-    line of the program the signal ended it, by its default action: seen in the soak (seed 52, exit code -1,
-    right after the start). The shell that `run` begins with ignores it until there is a handler."""
+    """Guards against SIGHUP's default action, which ended the process before the first line of Python ran.
+    Found by the soak test (seed 52, exit code -1 right after the start). The shell that `run` starts with
+    ignores the signal until a handler is installed."""
     farm = Farm()
     farm.engine("e", "rows:1")
     listen = spare_address()
