--- a/tests/test_client_edges.py
+++ b/tests/test_client_edges.py
@@ -15,7 +15,7 @@
 import pytest
 from gevent import socket
 from gevent.event import Event
-from test_close_range import HEARD_S, descriptors, until
+from test_close_range import MAX_START_AFTER_DISCONNECT_S, count_descriptors, wait_until
 from test_stop import request_line
 
 from pathturn.memory.buffers import BufferPool
@@ -47,7 +47,7 @@
             if not each.socket.closed and each.socket.getpeername() == client.getsockname()
         ]
 
-    until(found)
+    wait_until(found)
     return found()[0]
 
 
@@ -57,7 +57,7 @@
     client = socket.create_connection(rig.listen)
     client.sendall(request_line(1))
     connection = connection_of(rig, client)
-    until(lambda: connection.batches_received and not connection.answer_greenlets)
+    wait_until(lambda: connection.batches_received and not connection.answer_greenlets)
     return client, connection
 
 
@@ -104,7 +104,7 @@
     gevent.sleep(0.05)
     assert reasons == ["idle"] and rig.engines["e"].posted and len(rig.engines["e"].posted) == 1
     client.close()
-    until(lambda: connection.socket.closed)
+    wait_until(lambda: connection.socket.closed)
 
 
 def test_first_request_that_crosses_the_timeout_for_it_is_discarded(rig, monkeypatch) -> None:
@@ -137,7 +137,7 @@
     with socket.create_connection(rig.listen) as client:
         connection = connection_of(rig, client)
         client.sendall(request_line(1)[:first_bytes])
-        until(lambda: len(connection.lines.partial) == first_bytes)
+        wait_until(lambda: len(connection.lines.partial) == first_bytes)
         client.sendall(request_line(1)[first_bytes:])
         connection.last_active_us = connection.partial_line_since_us = 0
         rig.gateway.client_connections.prune()  # in the same event loop iteration: the rest has not been read
@@ -214,9 +214,9 @@
     rig.call(2, "look")
     rig.returned(2, 2)
     rig.call(3, "look")
-    until(lambda: len(rig.engines["e"].posted) == 3)
+    wait_until(lambda: len(rig.engines["e"].posted) == 3)
     rig.abort(3)
-    until(lambda: any(each[0] == "DELETE" for each in rig.engines["e"].asked))
+    wait_until(lambda: any(each[0] == "DELETE" for each in rig.engines["e"].asked))
     with socket.create_connection(rig.listen) as other:
         other.sendall(PING % 1)
         assert b"healthy" in other.recv(200)
@@ -402,16 +402,18 @@
     rig.start()
     client_connections = rig.gateway.client_connections
     counts = []
-    before = descriptors()
+    before = count_descriptors()
     admit = client_connections.admit
     first = [plain.create_connection(rig.listen) for _ in range(client_connections.cap)]
-    until(lambda: len(client_connections.active) == client_connections.cap)
+    wait_until(lambda: len(client_connections.active) == client_connections.cap)
     gevent.sleep(0.05)  # until each reader waits for input
     monkeypatch.setattr(
-        client_connections, "admit", lambda connection: counts.append(descriptors()) or admit(connection)
+        client_connections,
+        "admit",
+        lambda connection: counts.append(count_descriptors()) or admit(connection),
     )
     second = [plain.create_connection(rig.listen) for _ in range(90)]
-    until(lambda: len(counts) >= 90)
+    wait_until(lambda: len(counts) >= 90)
     used = max(counts) - before - len(first) - len(second)
     for each in (*first, *second):
         each.close()
@@ -453,17 +455,17 @@
 def test_closed_connections_release_their_buffers_and_objects(rig) -> None:
     rig.engine("e")
     rig.start()
-    until(lambda: len(rig.gateway.client_connections) == 1)
+    wait_until(lambda: len(rig.gateway.client_connections) == 1)
 
     def connect_and_close(count: int) -> None:
         links = [plain.create_connection(rig.listen) for _ in range(count)]
         for each in links:
             each.sendall(PING % 1 + b'{"half')
-        until(lambda: sum(each.line_received for each in rig.gateway.client_connections.active) >= count)
+        wait_until(lambda: sum(each.line_received for each in rig.gateway.client_connections.active) >= count)
         gevent.sleep(0.03)  # until each reader waits for input
         for each in links:
             each.close()
-        until(lambda: len(rig.gateway.client_connections) == 1)
+        wait_until(lambda: len(rig.gateway.client_connections) == 1)
         gevent.sleep(0.02)
 
     for count in (40, 40, 20):
@@ -516,11 +518,11 @@
     rig.engine("e", "runs:200")
     rig.start()
     rig.call(1, "load", key="k", patience=5000)
-    until(lambda: rig.engines["e"].posted)
+    wait_until(lambda: rig.engines["e"].posted)
     client = socket.create_connection(rig.listen)
     client.sendall(request_with_key(2, "k"))
     facade = rig.gateway.facade
-    until(lambda: len(facade.batches) == 2)
+    wait_until(lambda: len(facade.batches) == 2)
     report_outcome = facade.report_outcome
     closed = []
 
@@ -530,8 +532,8 @@
 
     facade.report_outcome = report_then_close
     rig.returned(1)
-    until(lambda: not len(facade.batches))
-    gevent.sleep(HEARD_S)
+    wait_until(lambda: not len(facade.batches))
+    gevent.sleep(MAX_START_AFTER_DISCONNECT_S)
     assert closed and len(rig.engines["e"].posted) == 1
 
 
@@ -552,13 +554,13 @@
     )
     with connection.write_lock:
         rig.call(2, "load", key="k", patience=5000)
-        until(lambda: len(rig.engines["e"].posted) == 2)
+        wait_until(lambda: len(rig.engines["e"].posted) == 2)
         client.sendall(request_with_key(3, "k"))
-        until(lambda: waiting)
+        wait_until(lambda: waiting)
         client.close()
     rig.returned(2)
-    until(lambda: not len(facade.batches))
-    gevent.sleep(HEARD_S)
+    wait_until(lambda: not len(facade.batches))
+    gevent.sleep(MAX_START_AFTER_DISCONNECT_S)
     assert len(rig.engines["e"].posted) == 2
 
 
@@ -575,10 +577,10 @@
     rig.engines["e"].news = lambda link, ticket: go.wait() and news(link, ticket)
     rig.start()
     rig.call(1, "look", patience=1400)
-    until(lambda: rig.engines["e"].posted)
+    wait_until(lambda: rig.engines["e"].posted)
     client = socket.create_connection(rig.listen)
     client.sendall(request_line(2))
-    until(lambda: rig.gateway.connection_pool.waiters)
+    wait_until(lambda: rig.gateway.connection_pool.waiters)
     slots = rig.gateway.connection_pool.slots
     closed = []
     if same_iteration:
@@ -589,11 +591,11 @@
         go.set()
     else:
         client.close()
-        until(lambda: not rig.gateway.connection_pool.waiters)
+        wait_until(lambda: not rig.gateway.connection_pool.waiters)
         go.set()
     rig.returned(1)
-    until(lambda: not len(rig.gateway.facade.batches))
-    gevent.sleep(HEARD_S)
+    wait_until(lambda: not len(rig.gateway.facade.batches))
+    gevent.sleep(MAX_START_AFTER_DISCONNECT_S)
     assert len(rig.engines["e"].posted) == 1 and bool(closed) == same_iteration
     rig.idle()
 
@@ -627,8 +629,8 @@
 
     facade.dispatch = close_at_the_retry
     client.sendall(request_line(1))
-    until(lambda: len(dispatches) == 2)
-    until(lambda: not len(facade.batches))
-    gevent.sleep(HEARD_S)
+    wait_until(lambda: len(dispatches) == 2)
+    wait_until(lambda: not len(facade.batches))
+    gevent.sleep(MAX_START_AFTER_DISCONNECT_S)
     assert sum(len(each.posted) for each in rig.engines.values()) == 1
     rig.idle()
--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -1,10 +1,11 @@
-"""The instants in which something is still owed. Each crossing is forced: a dial, a write, an answer or a
-read is held at a named point and let go on a signal. The judge is what client and engines saw, and when."""
+"""Races between clients, gateway, engines and directory. Each race is forced: a connect, a write, a response
+or a read is held at one point and released on a signal. Tests assert what clients and engines saw, and
+when."""
 
 import os
 import resource
 import signal
-import socket as plain
+import socket as blocking_socket
 import subprocess
 import sys
 from base64 import b64decode
@@ -25,192 +26,204 @@
 from pathturn.wire import jsonrpc
 from pathturn.wire.discovery_client import QUERY_INTERVAL_S
 
-HEARD_S = 0.1  # by the protocol nothing begins later than that after its client left
-CALLED_BACK_S = 0.3  # the protocol's figure for what waited; here with a word each way to the engine
-UNKNOWN = b'{"jsonrpc":"2.0","id":%d,"method":"none"}\n'
+# By the protocol no batch is started at an engine later than this after its client has disconnected.
+MAX_START_AFTER_DISCONNECT_S = 0.1
+# The protocol's limit for cancelling a waiting batch; here it includes a round trip to the engine.
+MAX_CANCEL_DELAY_S = 0.3
+UNKNOWN_METHOD_LINE = b'{"jsonrpc":"2.0","id":%d,"method":"none"}\n'
 
 
-def begun_after(rig, at: float, slack: float = HEARD_S) -> int:
+def starts_after(rig, at: float, slack: float = MAX_START_AFTER_DISCONNECT_S) -> int:
+    """Count the starts that engines received more than `slack` seconds after `at`."""
     return sum(posted > at + slack for engine in rig.engines.values() for posted in engine.posted)
 
 
-def descriptors() -> int:
+def count_descriptors() -> int:
     return len(os.listdir("/proc/self/fd"))
 
 
-def given_up(engine) -> int:
-    return sum(each[0] == "DELETE" for each in engine.asked)
+def cancel_requests(engine) -> int:
+    return sum(request[0] == "DELETE" for request in engine.asked)
 
 
-def until(holds, within: float = 3.0) -> float:
-    """When it came to hold."""
-    with gevent.Timeout(within, AssertionError("it never came to hold")):
-        while not holds():
+def wait_until(condition, within: float = 3.0) -> float:
+    """Wait until the condition is true and return the time; fail after `within` seconds."""
+    with gevent.Timeout(within, AssertionError("the condition did not become true in time")):
+        while not condition():
             gevent.sleep(0.002)
     return monotonic()
 
 
-def held_dials(rig, monkeypatch, once: bool = False) -> dict[str, "Held"]:
-    """Dials to engines that wait for a signal, by the engine's name; with `once` only the first one."""
-    dials: dict[str, Held] = {}
-    names = {each.server.address: name for name, each in rig.engines.items()}
+def hold_connects(rig, monkeypatch, once: bool = False) -> dict[str, "HeldCall"]:
+    """Hold connects to engines until released; return them by engine name. With `once`, only the first."""
+    connects: dict[str, HeldCall] = {}
+    names = {engine.server.address: name for name, engine in rig.engines.items()}
 
-    class Slow(socket.socket):
+    class HoldingSocket(socket.socket):
         def connect(self, address):
-            if (name := names.get(address)) is None or (once and dials):
+            if (name := names.get(address)) is None or (once and connects):
                 return super().connect(address)
-            dials[name] = Held(super().connect)
-            return dials[name](address)
+            connects[name] = HeldCall(super().connect)
+            return connects[name](address)
 
-    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", Slow)
-    return dials
+    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", HoldingSocket)
+    return connects
 
 
-class Held:
-    """Holds whoever calls it until `go`; `came` tells that somebody is there."""
+class HeldCall:
+    """Blocks its callers until `released` is set; `called` is set by the first call."""
 
-    def __init__(self, call) -> None:
-        self.call, self.came, self.go = call, Event(), Event()
+    def __init__(self, function) -> None:
+        self.function = function
+        self.called = Event()
+        self.released = Event()
 
-    def __call__(self, *given, **named):
-        self.came.set()
-        self.go.wait()
-        return self.call(*given, **named)
+    def __call__(self, *args, **kwargs):
+        self.called.set()
+        self.released.wait()
+        return self.function(*args, **kwargs)
 
 
-# A client that leaves is heard at once.
+# A client's disconnect or abort takes effect at once.
 
 
-@pytest.mark.parametrize("torn", [False, True])
-def test_a_client_that_sends_much_at_once_and_goes_has_nothing_begun_for_it(rig, torn) -> None:
-    """Its reader rests between pieces, since so much is asked for; the end lies behind them."""
+@pytest.mark.parametrize("abrupt", [False, True])
+def test_a_client_that_sends_a_burst_and_disconnects_has_no_batch_started(rig, abrupt) -> None:
+    """The reader of the rate-limited connection pauses between chunks, and the EOF is behind unread input."""
     rig.engine("e", "runs:150")
     rig.start()
-    many = b"".join(request_line(number) for number in range(1, 33))
-    many += b"".join(UNKNOWN % number for number in range(33, 2000))
-    with socket.create_connection(rig.listen) as link:
-        link.sendall(many)
-        until(lambda: len(rig.engines["e"].posted) >= 4)
-        if not torn:
-            link.shutdown(socket.SHUT_WR)
-        left = monotonic()
-    until(lambda: not len(rig.gateway.facade.batches), 2)
+    burst = b"".join(request_line(number) for number in range(1, 33))
+    burst += b"".join(UNKNOWN_METHOD_LINE % number for number in range(33, 2000))
+    with socket.create_connection(rig.listen) as client:
+        client.sendall(burst)
+        wait_until(lambda: len(rig.engines["e"].posted) >= 4)
+        if not abrupt:
+            client.shutdown(socket.SHUT_WR)
+        disconnected_at = monotonic()
+    wait_until(lambda: not len(rig.gateway.facade.batches), 2)
     gevent.sleep(0.5)
-    assert begun_after(rig, left) == 0
+    assert starts_after(rig, disconnected_at) == 0
 
 
-def test_an_abort_behind_much_else_is_heard_at_once(rig) -> None:
+def test_an_abort_behind_many_requests_takes_effect_at_once(rig) -> None:
     rig.engine("e", "runs:5000")
     rig.start()
-    with socket.create_connection(rig.listen) as link:
-        link.sendall(request_line(1))
-        until(lambda: rig.engines["e"].posted)
-        link.sendall(b"".join(UNKNOWN % number for number in range(2, 400)))
-        gevent.sleep(0.05)  # by now its reader rests
-        link.sendall(b'{"jsonrpc":"2.0","method":"abort","params":{"id":1}}\n')
-        at = monotonic()
-        assert until(lambda: given_up(rig.engines["e"])) - at < CALLED_BACK_S
-
-
-def test_an_abort_is_heard_though_the_client_does_not_read(rig) -> None:
-    """An error answer waits to be written behind a slow reader."""
+    with socket.create_connection(rig.listen) as client:
+        client.sendall(request_line(1))
+        wait_until(lambda: rig.engines["e"].posted)
+        client.sendall(b"".join(UNKNOWN_METHOD_LINE % number for number in range(2, 400)))
+        gevent.sleep(0.05)  # by now its reader pauses
+        client.sendall(b'{"jsonrpc":"2.0","method":"abort","params":{"id":1}}\n')
+        aborted_at = monotonic()
+        assert wait_until(lambda: cancel_requests(rig.engines["e"])) - aborted_at < MAX_CANCEL_DELAY_S
+
+
+def test_an_abort_takes_effect_while_the_client_does_not_read(rig) -> None:
+    """An error response is waiting to be written to a slow reader."""
     rig.engine("e", "runs:5000")
     rig.start()
     rig.call(1, "look", patience=1400)
-    until(lambda: rig.engines["e"].posted)
-    (slow,) = rig.gateway.client_connections.active
-    with slow.write_lock:
+    wait_until(lambda: rig.engines["e"].posted)
+    (connection,) = rig.gateway.client_connections.active
+    with connection.write_lock:
         rig.say(id=2, method="none")
         gevent.sleep(0.05)
         rig.abort(1)
-        at = monotonic()
-        assert until(lambda: given_up(rig.engines["e"]), 1) - at < CALLED_BACK_S
+        aborted_at = monotonic()
+        assert wait_until(lambda: cancel_requests(rig.engines["e"]), 1) - aborted_at < MAX_CANCEL_DELAY_S
     rig.errored(2)
 
 
-def test_a_client_that_goes_after_what_cannot_be_read_is_heard_at_once(rig) -> None:
-    """What it sent before that is still owed its answer, but only while it is there."""
+def test_a_disconnect_after_a_malformed_line_takes_effect_at_once(rig) -> None:
+    """Batches received before the malformed line are answered, but only while the client is connected."""
     rig.engine("e", "runs:1000")
     rig.start()
-    with socket.create_connection(rig.listen) as link:
-        link.sendall(request_line(1) + b"\x00 no line\n")
-        until(lambda: rig.engines["e"].posted)
+    with socket.create_connection(rig.listen) as client:
+        client.sendall(request_line(1) + b"\x00 no line\n")
+        wait_until(lambda: rig.engines["e"].posted)
         gevent.sleep(0.05)
-    at = monotonic()
-    assert until(lambda: given_up(rig.engines["e"]), 0.8) - at < CALLED_BACK_S
+    disconnected_at = monotonic()
+    assert wait_until(lambda: cancel_requests(rig.engines["e"]), 0.8) - disconnected_at < MAX_CANCEL_DELAY_S
 
 
-def test_what_was_taken_before_what_cannot_be_read_is_answered_and_then_the_end_comes(rig) -> None:
+def test_batches_before_a_malformed_line_are_answered_before_the_connection_closes(rig) -> None:
     rig.engine("e", "runs:200")
     rig.start()
-    with socket.create_connection(rig.listen) as link, gevent.Timeout(2):
-        link.sendall(request_line(1) + b"\x00 no line\n" + request_line(2))
-        with link.makefile("rb") as read:
-            told = [orjson.loads(each) for each in read]
-    assert sorted((each["id"] or 0, "result" in each) for each in told) == [(0, False), (1, True)]
+    with socket.create_connection(rig.listen) as client, gevent.Timeout(2):
+        client.sendall(request_line(1) + b"\x00 no line\n" + request_line(2))
+        with client.makefile("rb") as lines:
+            responses = [orjson.loads(response) for response in lines]
+    assert sorted((response["id"] or 0, "result" in response) for response in responses) == [
+        (0, False),
+        (1, True),
+    ]
     rig.asked("e", "POST", 1)
 
 
-def test_a_dial_that_comes_up_as_its_client_goes_carries_nothing(rig, monkeypatch) -> None:
-    """Both lie ready in the same turn of the loop, and the dial is looked at first."""
+def test_a_connect_that_completes_as_its_client_disconnects_sends_no_request(rig, monkeypatch) -> None:
+    """Both are ready in the same event loop iteration, and the connect is processed first."""
     rig.engine("e")
     rig.start()
     client = socket.create_connection(rig.listen)
-    dials = held_dials(rig, monkeypatch)
+    connects = hold_connects(rig, monkeypatch)
     client.sendall(request_line(1))
-    until(lambda: dials)
-    dials["e"].go.set()
+    wait_until(lambda: connects)
+    connects["e"].released.set()
     client.close()
     gevent.sleep(0.3)
-    assert [each[0] for each in rig.engines["e"].asked] == []
+    assert [request[0] for request in rig.engines["e"].asked] == []
     rig.idle()
 
 
-def test_what_was_decided_before_its_client_left_is_not_dialled_for(rig, monkeypatch) -> None:
+def test_a_batch_dispatched_before_its_client_disconnected_opens_no_connection(rig, monkeypatch) -> None:
     rig.engine("e")
     rig.start()
-    facade, dialled, decided = rig.gateway.facade, [], []
-    monkeypatch.setattr(rig.gateway.connection_pool, "connect", lambda *told: dialled.append(told) or 1 // 0)
-    decide = facade.dispatch
-
-    def leave_at_once(batch, engine, time_limit_us):
-        decide(batch, engine, time_limit_us)
-        decided.append(batch)
+    facade = rig.gateway.facade
+    connects = []
+    dispatched = []
+    monkeypatch.setattr(rig.gateway.connection_pool, "connect", lambda *args: connects.append(args) or 1 // 0)
+    dispatch = facade.dispatch
+
+    def dispatch_and_withdraw(batch, engine, time_limit_us):
+        dispatch(batch, engine, time_limit_us)
+        dispatched.append(batch)
         facade.withdraw(facade.batches.by_index[batch])
 
-    monkeypatch.setattr(facade, "dispatch", leave_at_once)
+    monkeypatch.setattr(facade, "dispatch", dispatch_and_withdraw)
     rig.call(1, "look")
-    until(lambda: decided)
-    until(lambda: not len(facade.batches), 1)
-    assert dialled == []
+    wait_until(lambda: dispatched)
+    wait_until(lambda: not len(facade.batches), 1)
+    assert connects == []
 
 
-# What comes late on a connection to an engine is no answer to the next call.
+# Late and duplicate responses on a connection to an engine are not taken for the next response.
 
 
-class Copier:
-    """An engine that sends a second copy of its first answer on the same connection some milliseconds later,
-    and answers no other call there before; and each batch has rows of its own. `later`: the first answer is
-    `not yet`, and once the query is over it is slow to say so again."""
+class DuplicatingEngine:
+    """An engine that sends a duplicate of its first response on the same connection some milliseconds later,
+    and answers no other request there before it. Each batch has rows of its own. With `duplicate_polls`, the
+    duplicate is that of a "still running" response, and a repeated poll for the result is answered slowly."""
 
-    def __init__(self, engine, later: bool = False) -> None:
-        self.engine, self.later, self.copies = engine, later, {}
+    def __init__(self, engine, duplicate_polls: bool = False) -> None:
+        self.engine = engine
+        self.duplicate_polls = duplicate_polls
+        self.pending_duplicates = {}
         engine.news = self.news
 
     def news(self, link, ticket):
-        if (copy := self.copies.pop(link, None)) is not None:
-            copy.wait()
+        if (duplicate_sent := self.pending_duplicates.pop(link, None)) is not None:
+            duplicate_sent.wait()
             gevent.sleep(0.01)
-        word, since = self.engine.queries[ticket]
-        if self.later and word == "rows:1":
-            self.engine.queries[ticket] = ("begun", since)
+        behaviour, started_at = self.engine.queries[ticket]
+        if self.duplicate_polls and behaviour == "rows:1":
+            self.engine.queries[ticket] = ("begun", started_at)
             self.send(link, 202, [], b"", twice=True)
             return
-        if word == "told":
+        if behaviour == "result_sent":
             gevent.sleep(0.2)
-        self.engine.queries[ticket] = ("told", since)
+        self.engine.queries[ticket] = ("result_sent", started_at)
         fields = [("X-Pages", 1), ("X-Cost-Ms", 5), ("X-Needed-Mb", 1)]
-        self.send(link, 200, fields, own_rows(int(ticket, 16)), twice=not self.later)
+        self.send(link, 200, fields, result_rows(int(ticket, 16)), twice=not self.duplicate_polls)
 
     def send(self, link, status, fields, body, twice):
         head = [
@@ -220,365 +233,398 @@
             "",
             "",
         ]
-        whole = "\r\n".join(head).encode() + body
-        link.sendall(whole)
+        response = "\r\n".join(head).encode() + body
+        link.sendall(response)
         if twice:
-            self.copies[link] = sent = Event()
-            gevent.spawn_later(0.01, lambda: (link.sendall(whole), sent.set()))
+            self.pending_duplicates[link] = sent = Event()
+            gevent.spawn_later(0.01, lambda: (link.sendall(response), sent.set()))
 
 
-def own_rows(number: int) -> bytes:
+def result_rows(number: int) -> bytes:
     return f"a\tb\t{number}\n".encode()
 
 
-def rows(rig, number: int) -> bytes:
+def returned_rows(rig, number: int) -> bytes:
     return b64decode(rig.answered(number).get("result", {}).get("data", ""))
 
 
-def test_a_second_answer_that_comes_with_the_next_call_is_not_taken_for_its_own(rig) -> None:
+def test_a_duplicate_response_is_not_taken_for_the_response_to_the_next_request(rig) -> None:
     rig.engine("e")
-    Copier(rig.engines["e"])
+    DuplicatingEngine(rig.engines["e"])
     rig.start()
     for number in (1, 2, 3):
         rig.call(number, "look")
-        until(lambda number=number: number in rig.answers)
-    assert [rows(rig, number) for number in (1, 2, 3)] == [own_rows(number) for number in (1, 2, 3)]
+        wait_until(lambda number=number: number in rig.answers)
+    assert [returned_rows(rig, number) for number in (1, 2, 3)] == [
+        result_rows(number) for number in (1, 2, 3)
+    ]
 
 
-def test_a_second_piece_of_news_does_not_shift_the_answers_after_it(rig) -> None:
-    """The copy of `not yet` is taken for the next news, and all that follows is one call late: the connection
-    may rest for as long as it likes, what is on its way then is the answer before."""
+def test_a_duplicate_poll_response_does_not_shift_later_responses(rig) -> None:
+    """Guards against responses shifted by one request: were the duplicate of a "still running" response taken
+    for the response to the next poll, each later request on the connection would get the previous response,
+    however long the connection was idle in between."""
     rig.engine("e")
-    Copier(rig.engines["e"], later=True)
+    DuplicatingEngine(rig.engines["e"], duplicate_polls=True)
     rig.start()
     for number in range(1, 5):
         rig.call(number, "look")
-        assert rows(rig, number) == own_rows(number)
+        assert returned_rows(rig, number) == result_rows(number)
         gevent.sleep(0.08)
 
 
-def test_a_give_up_is_not_proven_by_news_that_came_late(rig) -> None:
-    """Order of a key rests on that proof: the next of it would run beside the query that goes on."""
+def test_a_late_poll_response_does_not_confirm_a_cancellation(rig) -> None:
+    """Guards against two batches of a key at once: the next one may only start when the execution of the
+    cancelled one is confirmed to have ended, and here it is still running."""
     rig.set("rules.keyQuietUs", "20000")
     rig.engine("e")
-    engine, hold, given = rig.engines["e"], Event(), []
+    engine = rig.engines["e"]
+    release = Event()
+    held_responses = []
     answer = engine.answer
 
-    def late(link, status, fields=(), body=b""):
-        if status == 204 and not given:
-            given.append(monotonic())
+    def answer_cancel_late(link, status, fields=(), body=b""):
+        if status == 204 and not held_responses:
+            held_responses.append(monotonic())
             answer(link, 202)
-            gevent.spawn(lambda: hold.wait() and answer(link, 204))
+            gevent.spawn(lambda: release.wait() and answer(link, 204))
         else:
             answer(link, status, fields, body)
 
-    def news(link, ticket):
+    def answer_poll_late(link, ticket):
         gevent.sleep(0.05)
         answer(link, 202)
 
-    engine.answer, engine.news = late, news
+    engine.answer = answer_cancel_late
+    engine.news = answer_poll_late
     rig.start()
     rig.call(1, "load", key="k", patience=3000)
-    until(lambda: engine.posted)
+    wait_until(lambda: engine.posted)
     rig.abort(1)
     rig.call(2, "load", key="k", patience=3000)
-    until(lambda: given)
+    wait_until(lambda: held_responses)
     gevent.sleep(0.25)
     assert len(engine.posted) == 1
-    hold.set()
-    until(lambda: len(engine.posted) == 2)
+    release.set()
+    wait_until(lambda: len(engine.posted) == 2)
 
 
-# A start that is late.
+# A start that reaches the engine late.
 
 
-class Late:
-    """The way to an engine on which what the first connection carries comes late, whatever becomes of it: it
-    is on the wire already. Other connections are as quick as ever."""
+class DelayingProxy:
+    """A TCP proxy in front of an engine that delivers the requests of its first connection late, even after
+    the gateway has closed that connection. Other connections are not delayed."""
 
-    def __init__(self, behind, late_s: float) -> None:
-        self.behind, self.late_s, self.first = behind, late_s, True
-        self.server = StreamServer(("127.0.0.1", 0), self.carry)
+    def __init__(self, engine_address, delay_s: float) -> None:
+        self.engine_address = engine_address
+        self.delay_s = delay_s
+        self.is_first = True
+        self.server = StreamServer(("127.0.0.1", 0), self.handle)
         self.server.start()
 
-    def carry(self, link, peer):
-        late, self.first = self.first, False
-        with socket.create_connection(self.behind) as beyond:
-            back = gevent.spawn(self.pump, beyond, link)
+    def handle(self, downstream, peer):
+        delayed = self.is_first
+        self.is_first = False
+        with socket.create_connection(self.engine_address) as upstream:
+            responses = gevent.spawn(self.forward, upstream, downstream)
             with suppress(OSError):
-                while piece := link.recv(65_536):
-                    if late:
-                        gevent.sleep(self.late_s)
-                    beyond.sendall(piece)
-            gevent.sleep(self.late_s if late else 0)
-            back.kill()
-
-    def pump(self, source, sink):
+                while chunk := downstream.recv(65_536):
+                    if delayed:
+                        gevent.sleep(self.delay_s)
+                    upstream.sendall(chunk)
+            gevent.sleep(self.delay_s if delayed else 0)
+            responses.kill()
+
+    def forward(self, source, sink):
         with suppress(OSError):
-            while piece := source.recv(65_536):
-                sink.sendall(piece)
+            while chunk := source.recv(65_536):
+                sink.sendall(chunk)
 
 
 @pytest.mark.parametrize("group", ["load", "book"])
-def test_a_start_that_comes_after_its_give_up_does_not_run_beside_the_next_of_its_key(rig, group) -> None:
+def test_a_start_that_arrives_after_its_cancel_does_not_overlap_the_next_of_its_key(rig, group) -> None:
     rig.engine("e", "runs:4000")
-    late = rig.straits["e"] = Late(rig.engines["e"].server.address, 1.0)
+    proxy = rig.straits["e"] = DelayingProxy(rig.engines["e"].server.address, 1.0)
     rig.start()
     rig.call(1, group, key="k", patience=4000)
     gevent.sleep(0.1)
     rig.abort(1)
     rig.call(2, group, key="k", patience=4900)
-    until(lambda: len(rig.engines["e"].posted) == 2, 5)
+    wait_until(lambda: len(rig.engines["e"].posted) == 2, 5)
     runs = sorted(run[1:] for run in rig.engines["e"].runs.values())
-    assert runs[0][1] <= runs[1][0], "both ran at once"
-    late.server.stop(0)
+    assert runs[0][1] <= runs[1][0], "both batches of the key ran at once"
+    proxy.server.stop(0)
 
 
-# A connection that gives way loses nothing that was written on it.
+# An evicted connection loses no data that was written on it.
 
 
-def test_a_batch_that_crosses_giving_way_does_not_take_the_answer_before_it(rig, monkeypatch) -> None:
-    """Between the look at its socket and the end a batch arrives; closed over that, the connection would be
-    reset, and the answer that its client has not read yet be gone."""
+def test_a_batch_that_arrives_during_eviction_does_not_lose_the_previous_response(rig, monkeypatch) -> None:
+    """Guards against a reset on eviction: a batch arrives between the check of the socket and the close.
+    Closing a socket with unread input resets the connection, and the client loses a response it has not read
+    yet."""
     rig.sockets(64)
     rig.engine("e")
     rig.start()
     cap = rig.gateway.client_connections.cap
     client = socket.create_connection(rig.listen)
     client.sendall(request_line(1))
-    until(
+    wait_until(
         lambda: any(
-            each.batches_received and not each.answer_greenlets
-            for each in rig.gateway.client_connections.active
+            connection.batches_received and not connection.answer_greenlets
+            for connection in rig.gateway.client_connections.active
         )
     )
-    connection = next(each for each in rig.gateway.client_connections.active if each.batches_received)
-    connection.last_active_us = 0  # idle for longest
-    safe_to_close = type(connection).safe_to_close
+    evicted = next(
+        connection for connection in rig.gateway.client_connections.active if connection.batches_received
+    )
+    evicted.last_active_us = 0  # idle for the longest time
+    safe_to_close = type(evicted).safe_to_close
 
-    def crossed(self):
-        found = safe_to_close(self)
-        if found and self is connection:
+    def send_after_check(self):
+        is_safe = safe_to_close(self)
+        if is_safe and self is evicted:
             client.sendall(request_line(2))
-        return found
+        return is_safe
 
-    monkeypatch.setattr(type(connection), "safe_to_close", crossed)
+    monkeypatch.setattr(type(evicted), "safe_to_close", send_after_check)
     others = [socket.create_connection(rig.listen) for _ in range(cap)]
     gevent.sleep(0.2)
-    with gevent.Timeout(2), client.makefile("rb") as read:
-        told = [orjson.loads(each)["id"] for each in read]
-    assert told == [1]
+    with gevent.Timeout(2), client.makefile("rb") as lines:
+        response_ids = [orjson.loads(response)["id"] for response in lines]
+    assert response_ids == [1]
     rig.asked("e", "POST", 1)
-    for each in others:
-        each.close()
+    for other in others:
+        other.close()
 
 
-def test_a_client_that_never_closes_after_it_gave_way_is_ended_for_good(rig) -> None:
+def test_an_evicted_client_that_never_closes_is_disconnected_after_a_timeout(rig) -> None:
     rig.sockets(64)
     rig.engine("e")
     rig.start()
     cap = rig.gateway.client_connections.cap
     others = [socket.create_connection(rig.listen) for _ in range(3 * cap)]
     client_connections = rig.gateway.client_connections
-    until(lambda: len(client_connections) <= cap + client_connections.max_half_closed)
+    wait_until(lambda: len(client_connections) <= cap + client_connections.max_half_closed)
     assert len(client_connections) <= cap + client_connections.max_half_closed
-    until(lambda: len(client_connections) <= 1, 5)
-    for each in others:
-        each.close()
+    wait_until(lambda: len(client_connections) <= 1, 5)
+    for other in others:
+        other.close()
 
 
-# Descriptors are short, and the directory is down.
+# File descriptors are exhausted, and the directory is down.
 
 
-def test_a_crowd_accepted_at_once_takes_no_descriptor_that_is_lent_to_others(rig, monkeypatch) -> None:
+def test_clients_accepted_at_once_use_no_descriptor_reserved_for_others(rig, monkeypatch) -> None:
     rig.sockets(64)
     rig.engine("e")
     rig.start()
-    client_connections, most = rig.gateway.client_connections, []
-    admit, before = client_connections.admit, descriptors()
+    client_connections = rig.gateway.client_connections
+    counts = []
+    admit = client_connections.admit
+    count_before = count_descriptors()
     monkeypatch.setattr(
-        client_connections, "admit", lambda connection: most.append(descriptors()) or admit(connection)
+        client_connections,
+        "admit",
+        lambda connection: counts.append(count_descriptors()) or admit(connection),
+    )
+    # Blocking sockets: all are connected before the first one is accepted.
+    clients = [blocking_socket.create_connection(rig.listen) for _ in range(90)]
+    wait_until(lambda: len(counts) >= 90)
+    assert (
+        max(counts) - count_before - len(clients)
+        <= client_connections.cap + client_connections.max_half_closed + 1
     )
-    crowd = [plain.create_connection(rig.listen) for _ in range(90)]  # all there before one is accepted
-    until(lambda: len(most) >= 90)
-    assert max(most) - before - len(crowd) <= client_connections.cap + client_connections.max_half_closed + 1
-    for each in crowd:
-        each.close()
+    for client in clients:
+        client.close()
 
 
-def test_idle_clients_that_fill_the_descriptors_stop_neither_list_nor_dials_nor_a_stop(tmp_path) -> None:
+def test_idle_clients_that_use_up_descriptors_block_neither_discovery_nor_dispatch_nor_shutdown(
+    tmp_path,
+) -> None:
     site = Site(tmp_path)
     site.limit = 96
     site.engine("e")
     site.engine("f")
     site.silent = True
 
-    def narrow():
+    def limit_descriptors():
         resource.setrlimit(resource.RLIMIT_NOFILE, (site.limit, site.limit))
 
     popen = subprocess.Popen
 
-    def start(words, **more):
-        return popen(words, preexec_fn=narrow, **more)
+    def start_limited(command, **kwargs):
+        return popen(command, preexec_fn=limit_descriptors, **kwargs)
 
-    subprocess.Popen = start
+    subprocess.Popen = start_limited
     try:
         with site.process():
-            crowd = [socket.create_connection(site.listen) for _ in range(200)]
+            clients = [socket.create_connection(site.listen) for _ in range(200)]
             for _ in range(3):
-                for each in crowd[::2]:
+                for client in clients[::2]:
                     with suppress(OSError):
-                        each.sendall(b'{"jsonrpc":"2.0","id":1,"method":"ping"}\n')
+                        client.sendall(b'{"jsonrpc":"2.0","id":1,"method":"ping"}\n')
                 gevent.sleep(0.1)
             caller = site.caller()
             for _ in range(20):
                 caller.send("look")
-            until(lambda: sum(caller.ends["look"].values()) == 20)
+            wait_until(lambda: sum(caller.ends["look"].values()) == 20)
             assert caller.ends["look"]["returned"] == 20
             site.silent = False
             site.change("e", "draining")
             gevent.sleep(4 * QUERY_INTERVAL_S)
-            seen = len(site.engines["e"].posts())
-            late = site.caller()
+            posts_before = len(site.engines["e"].posts())
+            late_caller = site.caller()
             for _ in range(20):
-                late.send("look")
-            until(lambda: sum(late.ends["look"].values()) == 20)
-            assert len(site.engines["e"].posts()) == seen and late.ends["look"]["returned"] == 20
+                late_caller.send("look")
+            wait_until(lambda: sum(late_caller.ends["look"].values()) == 20)
+            assert (
+                len(site.engines["e"].posts()) == posts_before and late_caller.ends["look"]["returned"] == 20
+            )
             site.terminate()
             site.wait_exited(3.7)
-            for each in crowd:
-                each.close()
+            for client in clients:
+                client.close()
     finally:
         subprocess.Popen = popen
 
 
-# A list that goes quiet, or tells something while a dispatch waits.
+# A directory that does not answer, and list updates while a dispatch is pending.
 
 
-def test_a_drain_told_while_a_dispatch_waits_for_its_connection_is_kept(rig, monkeypatch) -> None:
-    """A once-only batch: what never began may go elsewhere."""
+def test_a_drain_that_arrives_while_a_dispatch_waits_for_its_connection_is_respected(
+    rig, monkeypatch
+) -> None:
+    """A once-only batch that was never started may be dispatched to another engine."""
     rig.engine("e")
     rig.engine("f")
     rig.start()
-    dials = held_dials(rig, monkeypatch, once=True)
+    connects = hold_connects(rig, monkeypatch, once=True)
     rig.call(1, "pay", patience=1400)
-    until(lambda: dials)
-    ((name, dial),) = dials.items()
+    wait_until(lambda: connects)
+    ((name, connect),) = connects.items()
     rig.change(name, "draining")
-    until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1)
-    dial.go.set()
+    wait_until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1)
+    connect.released.set()
     rig.returned(1)
     rig.asked(name, "POST", 0)
     rig.asked("f" if name == "e" else "e", "POST", 1)
 
 
-def test_a_dial_that_comes_up_after_its_time_carries_nothing_and_the_batch_goes_elsewhere_once(
+def test_a_connect_after_its_timeout_sends_no_request_and_the_batch_is_retried_once_elsewhere(
     rig, monkeypatch
 ) -> None:
     rig.engine("e")
     rig.engine("f")
     rig.start()
-    late, connect = [], socket.socket.connect
+    timed_out_addresses = []
+    connect = socket.socket.connect
 
-    class Late(socket.socket):
+    class TimingOutSocket(socket.socket):
         def connect(self, address):
-            if not late:
-                late.append(address)
+            if not timed_out_addresses:
+                timed_out_addresses.append(address)
                 gevent.sleep(0.15)
                 raise TimeoutError
             connect(self, address)
 
-    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", Late)
+    monkeypatch.setattr("pathturn.wire.engine_connection.socket.socket", TimingOutSocket)
     rig.call(1, "pay", patience=1400)
     rig.returned(1)
-    posts = {each.server.address: len(each.posts()) for each in rig.engines.values()}
-    assert posts.pop(late[0]) == 0 and list(posts.values()) == [1]
+    posts = {engine.server.address: len(engine.posts()) for engine in rig.engines.values()}
+    assert posts.pop(timed_out_addresses[0]) == 0 and list(posts.values()) == [1]
 
 
-def test_an_engine_that_comes_back_under_its_id_at_another_address_is_asked_there(rig) -> None:
-    """And nothing goes out on what was left open to the old one."""
+def test_an_engine_that_returns_under_its_id_at_a_new_address_gets_its_batches_there(rig) -> None:
+    """No request is sent on connections still open to the old address."""
     rig.engine("e")
     rig.start()
     rig.call(1, "pay")
     rig.returned(1)
-    old = rig.engines["e"]
+    old_engine = rig.engines["e"]
     rig.engine("e", "rows:2")
     rig.serial += 1
-    place = rig.engines["e"].server.address
-    until(lambda: {each[1] for each in rig.gateway.facade.engine_registry.endpoint_of.values()} == {place})
+    new_address = rig.engines["e"].server.address
+    wait_until(
+        lambda: {endpoint[1] for endpoint in rig.gateway.facade.engine_registry.endpoint_of.values()}
+        == {new_address}
+    )
     rig.call(2, "pay")
     rig.returned(2, 2)
-    assert len(old.posts()) == 1
+    assert len(old_engine.posts()) == 1
     rig.idle()
-    old.server.stop(0)
+    old_engine.server.stop(0)
 
 
-def test_a_directory_answer_that_is_lost_does_not_hold_up_the_next(rig, monkeypatch) -> None:
+def test_a_lost_directory_response_does_not_delay_the_next(rig, monkeypatch) -> None:
     rig.engine("e")
     rig.engine("f")
-    asked, answer = [], rig.directory
+    queried_at = []
+    answer = rig.directory
 
-    def lossy(packet, peer):
-        asked.append(monotonic())
-        if "e" in rig.states and rig.states["e"] == "draining" and not lost:
-            lost.append(monotonic())
+    def lose_one_response(packet, peer):
+        queried_at.append(monotonic())
+        if "e" in rig.states and rig.states["e"] == "draining" and not lost_at:
+            lost_at.append(monotonic())
             return
         answer(packet, peer)
 
-    lost = []
-    monkeypatch.setattr(rig, "directory", lossy)
+    lost_at = []
+    monkeypatch.setattr(rig, "directory", lose_one_response)
     rig.start()
-    until(lambda: len(asked) >= 2)
+    wait_until(lambda: len(queried_at) >= 2)
     rig.change("e", "draining")
-    until(lambda: lost)
-    heard = until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1)
-    assert heard - lost[0] < QUERY_INTERVAL_S + CALLED_BACK_S
+    wait_until(lambda: lost_at)
+    received_at = wait_until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1)
+    assert received_at - lost_at[0] < QUERY_INTERVAL_S + MAX_CANCEL_DELAY_S
 
 
-def test_a_directory_that_answers_later_than_it_is_asked_is_heard(rig, monkeypatch) -> None:
+def test_directory_responses_slower_than_the_query_interval_are_processed(rig, monkeypatch) -> None:
     rig.engine("e")
     rig.engine("f")
     answer = rig.directory
-    monkeypatch.setattr(rig, "directory", lambda *told: gevent.sleep(0.4) or answer(*told))
+    monkeypatch.setattr(rig, "directory", lambda *args: gevent.sleep(0.4) or answer(*args))
     rig.start()
     rig.change("e", "draining")
-    until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1, 2)
+    wait_until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1, 2)
 
 
-def test_an_older_list_that_overtakes_a_newer_one_brings_nothing_back(rig, monkeypatch) -> None:
-    """Two questions are on their way at once; the first is answered last, as of before the drain."""
+def test_an_older_list_that_arrives_after_a_newer_one_is_ignored(rig, monkeypatch) -> None:
+    """Two queries are in flight at once; the first is answered last, with the list from before the drain."""
     rig.engine("e")
     rig.engine("f")
-    answer, old = rig.directory, {}
+    answer = rig.directory
+    first_query = {}
 
-    def slow_first(packet, peer):
-        if "held" not in old:
-            old["held"] = (packet, peer, dict(rig.states), rig.serial)
+    def answer_first_query_last(packet, peer):
+        if "held" not in first_query:
+            first_query["held"] = (packet, peer, dict(rig.states), rig.serial)
             return
-        if len(old) < 2 and rig.states["e"] == "draining":
+        if len(first_query) < 2 and rig.states["e"] == "draining":
             answer(packet, peer)
-            old["sent"] = True
+            first_query["sent"] = True
             states, serial = rig.states, rig.serial
-            first, to, rig.states, rig.serial = old["held"]
-            answer(first, to)
+            held_packet, held_peer, rig.states, rig.serial = first_query["held"]
+            answer(held_packet, held_peer)
             rig.states, rig.serial = states, serial
             return
         answer(packet, peer)
 
-    monkeypatch.setattr(rig, "directory", slow_first)
+    monkeypatch.setattr(rig, "directory", answer_first_query_last)
     rig.start()
-    until(lambda: "held" in old)
+    wait_until(lambda: "held" in first_query)
     rig.change("e", "draining")
-    until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1, 2)
+    wait_until(lambda: len(rig.gateway.facade.engine_registry.ready) == 1, 2)
     gevent.sleep(0.2)
     assert len(rig.gateway.facade.engine_registry.ready) == 1
 
 
-# One customer's settings for another's.
+# Gateways with different settings in one process.
 
 
-def test_two_gateways_with_different_settings_side_by_side_keep_to_their_own() -> None:
-    """In one process, one after the other and at the same time: the kind, limit, name and rest of a group."""
+def test_two_gateways_with_different_settings_in_one_process_share_no_state() -> None:
+    """Guards against settings kept in module state: groups, dispatch limits, cancelling and quiet periods."""
     other = farm.settings()
     other["classes"] = [
         {
@@ -597,46 +643,52 @@
         "freeResends": 1,
         "extraPerRequest": 0.1,
     }
-    first, groups = build_dispatcher(1, farm.settings())
-    second, fewer = build_dispatcher(1, other)
-    third, again = build_dispatcher(1, farm.settings())
-    assert list(fewer) == ["peek"] and list(groups) == list(again) == list(farm.GROUPS)
-
-    def told(one) -> tuple:
-        return one.max_dispatches, one.may_cancel, one.max_retry_after_us, one.key_queues.quiet_us
+    first, first_groups = build_dispatcher(1, farm.settings())
+    second, second_groups = build_dispatcher(1, other)
+    third, third_groups = build_dispatcher(1, farm.settings())
+    assert list(second_groups) == ["peek"] and list(first_groups) == list(third_groups) == list(farm.GROUPS)
+
+    def limits(dispatcher) -> tuple:
+        return (
+            dispatcher.max_dispatches,
+            dispatcher.may_cancel,
+            dispatcher.max_retry_after_us,
+            dispatcher.key_queues.quiet_us,
+        )
 
-    assert [told(one) for one in (first, third)] == [(4, True, 500_000, 300_000)] * 2
-    assert told(second) == (2, False, 0, 90_000)
-    shared = [
+    assert [limits(dispatcher) for dispatcher in (first, third)] == [(4, True, 500_000, 300_000)] * 2
+    assert limits(second) == (2, False, 0, 90_000)
+    shared_state = [
         name
         for name, value in vars(first).items()
         if isinstance(value, (dict, list, set)) and value is getattr(second, name)
     ]
-    assert shared == []
+    assert shared_state == []
 
 
-def test_gateways_of_two_customers_in_one_process_serve_each_by_its_own_settings(rig) -> None:
-    """After a reset, which may have run it, a batch goes out again where the settings call it repeatable."""
+def test_two_gateways_in_one_process_each_apply_their_own_settings(rig) -> None:
+    """After a connection reset, which leaves open whether the batch ran, only a gateway whose settings make
+    it repeatable retries it."""
     rig.engine("e", "reset", "rows:1", "reset", "rows:1")
     rig.start()
     other = farm.settings()
     other["classes"] = [{**other["classes"][0], "effect": "fragile"}]
-    told = rig.configuration("{}:{}".format(*farm.spare_address()))
-    second = GatewayProcess({**told, "settings": other})
+    config = rig.configuration("{}:{}".format(*farm.spare_address()))
+    second = GatewayProcess({**config, "settings": other})
     second.server.start()
     running = gevent.spawn(second.run)
     try:
-        with socket.create_connection(second.server.address) as link, gevent.Timeout(3):
-            link.sendall(request_line(1))
-            answers = link.makefile("rb")
-            assert orjson.loads(answers.readline())["error"]["code"] == jsonrpc.ERRORED
+        with socket.create_connection(second.server.address) as client, gevent.Timeout(3):
+            client.sendall(request_line(1))
+            responses = client.makefile("rb")
+            assert orjson.loads(responses.readline())["error"]["code"] == jsonrpc.ERRORED
             rig.asked("e", "POST", 1)
             for number in (11, 12):
                 rig.call(number, "look")
                 rig.returned(number)
             rig.asked("e", "POST", 4)
-            link.sendall(request_line(2).replace(b'"look"', b'"load"'))
-            assert orjson.loads(answers.readline())["error"]["code"] == jsonrpc.METHOD_NOT_FOUND
+            client.sendall(request_line(2).replace(b'"look"', b'"load"'))
+            assert orjson.loads(responses.readline())["error"]["code"] == jsonrpc.METHOD_NOT_FOUND
     finally:
         second.server.stop(0)
         second.greenlets.kill()
@@ -644,14 +696,14 @@
         running.kill()
 
 
-def test_a_gateway_is_ready_at_once_though_neither_directory_nor_engines_can_be_reached() -> None:
-    site_settings = farm.settings()
+def test_a_gateway_is_ready_at_once_with_directory_and_engines_unreachable() -> None:
+    settings = farm.settings()
     listen = farm.spare_address()
-    told = {
+    config = {
         "name": "n0",
         "listen": "{}:{}".format(*listen),
         "seed": "0f",
-        "settings": site_settings,
+        "settings": settings,
         "limits": {"sockets": 256, "memory_mb": 64, "cores": 0.25},
         "names": "127.0.0.1:1",
         "known": {"index": 0, "updates": []},
@@ -667,27 +719,27 @@
         stderr=subprocess.DEVNULL,
     )
     try:
-        running.stdin.write(orjson.dumps(told))
+        running.stdin.write(orjson.dumps(config))
         running.stdin.close()
-        began = monotonic()
+        started_at = monotonic()
         with gevent.Timeout(10):
             while True:
                 try:
-                    with socket.create_connection(listen) as link:
-                        link.sendall(b'{"jsonrpc":"2.0","id":1,"method":"ping"}\n')
-                        assert b'"healthy":true' in link.recv(200)
+                    with socket.create_connection(listen) as client:
+                        client.sendall(b'{"jsonrpc":"2.0","id":1,"method":"ping"}\n')
+                        assert b'"healthy":true' in client.recv(200)
                     break
                 except ConnectionRefusedError:
                     gevent.sleep(0.01)
-        assert monotonic() - began < 3
+        assert monotonic() - started_at < 3
     finally:
         running.kill()
         running.wait()
 
 
 @pytest.mark.parametrize("step", range(8))
-def test_a_stop_during_the_start_ends_it_without_a_word_of_a_fault(tmp_path, step) -> None:
-    """Nothing was taken by then: by its own way once that is set up, by the signal before."""
+def test_sigterm_during_startup_ends_the_process_without_a_traceback(tmp_path, step) -> None:
+    """No batch was accepted by then. Before the handler is installed, the signal's default action applies."""
     site = Site(tmp_path)
     site.engine("e")
     site.config.write_bytes(orjson.dumps(site.configuration("{}:{}".format(*site.listen))))
--- a/tests/test_engine_edges.py
+++ b/tests/test_engine_edges.py
@@ -15,7 +15,7 @@
 from gevent import socket
 from gevent.event import Event
 from gevent.server import StreamServer
-from test_close_range import Held, begun_after, descriptors, until
+from test_close_range import HeldCall, count_descriptors, starts_after, wait_until
 
 from pathturn.core import interface as names
 from pathturn.wire.engine_connection import EngineConnection, nothing_to_read
@@ -127,7 +127,7 @@
     rig.returned(1)
     (connection,) = idle_connections(rig)
     appends.connection.sendall(PARTIAL_RESPONSES[partial_response])
-    until(lambda: not connection.is_usable())
+    wait_until(lambda: not connection.is_usable())
     rig.call(2, "pay")
     rig.returned(2, 2)
     assert connection.socket.closed and count_starts(rig) == 2
@@ -146,7 +146,7 @@
         if usable and self is connection and not done:
             done.append(True)
             action()
-            until(lambda: not nothing_to_read(self.socket))
+            wait_until(lambda: not nothing_to_read(self.socket))
         return usable
 
     monkeypatch.setattr(EngineConnection, "is_usable", check_then_act)
@@ -311,12 +311,12 @@
     faulty = {name: FaultyResponses(engine, fault, is_running) for name, engine in rig.engines.items()}
     rig.start()
     rig.call(1, group, key="k")
-    until(lambda: count_starts(rig))
+    wait_until(lambda: count_starts(rig))
     rig.call(2, group, key="k")
     first = next(name for name, engine in rig.engines.items() if engine.posts())
     rig.returned(1)
     assert faulty[first].faults == 1
-    until(lambda: 2 in rig.answers)
+    wait_until(lambda: 2 in rig.answers)
     rig.answered(2)
     assert count_starts(rig) == 2
     rig.apart(group)
@@ -343,9 +343,9 @@
     engine.answer = hold_cancel_response
     rig.start()
     rig.call(1, group, key="k")
-    until(lambda: count_starts(rig))
+    wait_until(lambda: count_starts(rig))
     rig.call(2, group, key="k")
-    until(lambda: any(each[0] == "DELETE" for each in engine.asked))
+    wait_until(lambda: any(each[0] == "DELETE" for each in engine.asked))
     (rig.pushed_back if group == "load" else rig.errored)(1)
     gevent.sleep(0.2)
     assert count_starts(rig) == 1
@@ -377,7 +377,7 @@
     engine.news = close_after_a_second
     rig.start()
     rig.call(1, group, key="k")
-    until(lambda: engine.posted)
+    wait_until(lambda: engine.posted)
     if group != "pay":
         rig.call(2, group, key="k")
     rig.returned(1)
@@ -423,9 +423,9 @@
         return min(at for engine in self.rig.engines.values() for at in engine.posted)
 
 
-def hold_connect(batch, monkeypatch) -> Held:
+def hold_connect(batch, monkeypatch) -> HeldCall:
     """The connection for the retry is established late."""
-    held = Held(lambda: None)
+    held = HeldCall(lambda: None)
 
     class HeldConnect(socket.socket):
         def connect(self, address):
@@ -437,10 +437,10 @@
     return held
 
 
-def hold_slot(batch, monkeypatch) -> Held:
+def hold_slot(batch, monkeypatch) -> HeldCall:
     """The connection limit is reached when the retry is sent."""
     connection_pool = batch.rig.gateway.connection_pool
-    held = Held(lambda: None)
+    held = HeldCall(lambda: None)
     acquire = connection_pool.acquire
 
     def held_acquire(endpoint, new=False):
@@ -452,15 +452,15 @@
     return held
 
 
-def stall_process(batch, monkeypatch) -> Held:
+def stall_process(batch, monkeypatch) -> HeldCall:
     """The whole process stalls until the window is over."""
     connection_pool = batch.rig.gateway.connection_pool
-    held = Held(lambda: None)
+    held = HeldCall(lambda: None)
     acquire = connection_pool.acquire
 
     def held_acquire(endpoint, new=False):
-        if batch.is_retry_engine(endpoint[1]) and not held.came.is_set():
-            held.came.set()
+        if batch.is_retry_engine(endpoint[1]) and not held.called.is_set():
+            held.called.set()
             time.sleep(max(0, batch.started_at() + 1.05 * RETRY_WINDOW_S - monotonic()))
         return acquire(endpoint, new)
 
@@ -478,11 +478,11 @@
     held = hold(batch, monkeypatch)
     rig.call(1, "load")
     with gevent.Timeout(0.9 * RETRY_WINDOW_S, AssertionError("no retry was decided")):
-        held.came.wait()
+        held.called.wait()
     gevent.sleep(max(0, batch.started_at() + 1.05 * RETRY_WINDOW_S - monotonic()))
-    held.go.set()
+    held.released.set()
     rig.answered(1)
-    assert begun_after(rig, batch.started_at(), RETRY_WINDOW_S) == 0, "a retry started after the window"
+    assert starts_after(rig, batch.started_at(), RETRY_WINDOW_S) == 0, "a retry started after the window"
     assert count_starts(rig) == 1
     assert batch.outcomes[0] == names.RESET and set(batch.outcomes[1:]) <= names.NEVER_RAN
     getattr(rig, end)(1)
@@ -495,10 +495,10 @@
     held = hold(batch, monkeypatch)
     rig.call(1, "load")
     with gevent.Timeout(0.5 * RETRY_WINDOW_S, AssertionError("no retry was decided")):
-        held.came.wait()
-    held.go.set()
+        held.called.wait()
+    held.released.set()
     rig.returned(1, 2)
-    assert count_starts(rig) == 2 and begun_after(rig, batch.started_at(), RETRY_WINDOW_S) == 0
+    assert count_starts(rig) == 2 and starts_after(rig, batch.started_at(), RETRY_WINDOW_S) == 0
     assert batch.outcomes == [names.RESET, names.RETURNED]
     rig.idle()
 
@@ -602,7 +602,7 @@
     )
     gevent.sleep(0.05)
     with no_garbage_collection():
-        before = descriptors()
+        before = count_descriptors()
         began = monotonic()
         # More than one, so that at least one is first sent to the engine with the full backlog.
         for number in range(1, 5):
@@ -619,7 +619,9 @@
             if connection.endpoint[1] == full_backlog.address
         ]
         assert len(accepted) == len(kept) == 1, "one is kept, and no other left open"
-        until(lambda: descriptors() <= before - len(full_backlog.fillers) + len(idle_connections(rig)) * 2)
+        wait_until(
+            lambda: count_descriptors() <= before - len(full_backlog.fillers) + len(idle_connections(rig)) * 2
+        )
         accepted[0].close()
     assert set(outcomes) == {names.UNREACHABLE, names.RETURNED}
     assert outcomes.count(names.RETURNED) == 4 and count_starts(rig) == 4
@@ -634,16 +636,16 @@
     rig.start()
     gevent.sleep(0.05)
     with no_garbage_collection():
-        before = descriptors()
+        before = count_descriptors()
         for number in range(1, 6):
             rig.call(number, "pay", patience=PATIENCE_MS if cause == "abort" else 300)
-        until(lambda: descriptors() == before + 5)
+        wait_until(lambda: count_descriptors() == before + 5)
         for number in range(1, 6):
             if cause == "abort":
                 rig.abort(number)
             else:
                 rig.pushed_back(number)
-        until(lambda: descriptors() == before, 1)
+        wait_until(lambda: count_descriptors() == before, 1)
         rig.idle()
     full_backlog.make_room()
     gevent.sleep(0.1)
@@ -700,7 +702,7 @@
     rig.start()
     rig.call(1, "pay")
     rig.returned(1)
-    until(lambda: idle_connections(rig))
+    wait_until(lambda: idle_connections(rig))
     (rig.idle_connection,) = idle_connections(rig)
     return rig, proxy
 
@@ -710,7 +712,7 @@
 def test_a_connection_closed_while_idle_is_noticed_when_it_is_acquired(proxied_rig, end, group) -> None:
     rig, proxy = proxied_rig
     end(proxy.connections[0])
-    until(lambda: not rig.idle_connection.is_usable())
+    wait_until(lambda: not rig.idle_connection.is_usable())
     rig.call(2, group)
     rig.returned(2, 2)
     assert rig.idle_connection.socket.closed and count_starts(rig) == 2 and len(proxy.connections) == 2
--- a/tests/test_execution_termination.py
+++ b/tests/test_execution_termination.py
@@ -11,7 +11,7 @@
 from gevent.event import Event
 from gevent.select import POLLIN, poll
 from gevent.server import StreamServer
-from test_close_range import Late, until
+from test_close_range import DelayingProxy, wait_until
 
 from pathturn.wire.termination import CancelReply, TerminationProof
 
@@ -31,7 +31,7 @@
     rig.call(2, "book", key="k", patience=4900)
     rig.errored(1, within=3000)
     engine = rig.engines["e"]
-    until(lambda: len(engine.posts()) == 2, 6)
+    wait_until(lambda: len(engine.posts()) == 2, 6)
     rig.returned(2, within=6000)
     rig.apart("book")
     gevent.sleep(0.1)
@@ -81,7 +81,7 @@
         rig.straits[name] = proxy(rig.engines[name].server.address)
     rig.start()
     rig.call(1, service_class, key="k", patience=4900)
-    until(lambda: has_arrived("e") or has_arrived("f"))
+    wait_until(lambda: has_arrived("e") or has_arrived("f"))
     first, other = ("e", "f") if has_arrived("e") else ("f", "e")
     rig.engines[other].words = ["rows:1"]
     rig.call(2, service_class, key="k", patience=4900)
@@ -172,7 +172,7 @@
     of its key."""
     rig.engine("e", "runs:4000")
     engine = rig.engines["e"]
-    late_proxy = rig.straits["e"] = Late(engine.server.address, 1.0)
+    late_proxy = rig.straits["e"] = DelayingProxy(engine.server.address, 1.0)
     news = engine.news
 
     def delayed_unknown(connection, ticket) -> None:
@@ -183,10 +183,10 @@
     engine.news = delayed_unknown
     rig.start()
     rig.call(1, "load", key="k", patience=4900)
-    until(lambda: any(verb == "GET" for verb, *_ in engine.asked))
+    wait_until(lambda: any(verb == "GET" for verb, *_ in engine.asked))
     rig.abort(1)
     rig.call(2, "load", key="k", patience=4900)
-    until(lambda: len(engine.posted) == 2, 5)
+    wait_until(lambda: len(engine.posted) == 2, 5)
     rig.apart("load")
     late_proxy.server.stop(0)
 
@@ -211,10 +211,10 @@
     engine.answer = failing
     rig.start()
     rig.call(1, "load", key="k", patience=4900)
-    until(lambda: engine.posted)
+    wait_until(lambda: engine.posted)
     rig.abort(1)
     rig.call(2, "load", key="k", patience=4900)
-    until(lambda: len(engine.posted) == 2, 4)
+    wait_until(lambda: len(engine.posted) == 2, 4)
     assert len(failures) == 5
     rig.apart("load")
 
--- a/tests/test_identical_responses.py
+++ b/tests/test_identical_responses.py
@@ -7,7 +7,7 @@
 from time import monotonic
 
 import gevent
-from test_close_range import Copier, own_rows, rows, until
+from test_close_range import DuplicatingEngine, result_rows, returned_rows, wait_until
 
 ENGINES = ("e", "f", "g", "h")
 RATE = 40
@@ -52,7 +52,7 @@
         rig.call(first, "look")
         first += 1
         gevent.sleep(1 / RATE)
-    until(lambda: all(number in rig.answers for number in range(1, first)))
+    wait_until(lambda: all(number in rig.answers for number in range(1, first)))
     return first
 
 
@@ -99,11 +99,13 @@
     for number in range(1, 6):
         rig.call(number, "look")
         rig.returned(number)
-    Copier(engine)
+    DuplicatingEngine(engine)
     for number in range(6, 10):
         rig.call(number, "look")
-        until(lambda number=number: number in rig.answers)
-    assert [rows(rig, number) for number in range(6, 10)] == [own_rows(number) for number in range(6, 10)]
+        wait_until(lambda number=number: number in rig.answers)
+    assert [returned_rows(rig, number) for number in range(6, 10)] == [
+        result_rows(number) for number in range(6, 10)
+    ]
 
 
 def test_responses_of_equal_cost_and_different_rows_are_not_suspected(rig) -> None:
@@ -111,11 +113,11 @@
     rig.engine("e", "rows:1")
     engine = rig.engines["e"]
     engine.news = lambda connection, ticket: engine.answer(
-        connection, 200, [("X-Pages", 1), ("X-Cost-Ms", 5), ("X-Needed-Mb", 1)], own_rows(int(ticket, 16))
+        connection, 200, [("X-Pages", 1), ("X-Cost-Ms", 5), ("X-Needed-Mb", 1)], result_rows(int(ticket, 16))
     )
     rig.start()
     connections = ConnectionCount(rig.gateway.connection_pool)
     for number in range(1, 31):
         rig.call(number, "look")
-        assert b64decode(rig.answered(number)["result"]["data"]) == own_rows(number)
+        assert b64decode(rig.answered(number)["result"]["data"]) == result_rows(number)
     assert connections.opened <= 1 and len(engine.asked) == 30
--- a/tests/test_rounds.py
+++ b/tests/test_rounds.py
@@ -6,7 +6,7 @@
 import gevent
 from gevent import socket
 from gevent.server import StreamServer
-from test_close_range import until
+from test_close_range import wait_until
 
 STALL_S = 1.2
 
@@ -57,11 +57,11 @@
         rig.straits[name] = StallingProxy(rig.engines[name].server.address)
     rig.start()
     rig.call(1, "load", patience=3000)
-    until(lambda: rig.engines["e"].posted or rig.engines["f"].posted)
+    wait_until(lambda: rig.engines["e"].posted or rig.engines["f"].posted)
     gevent.sleep(0.2)
     proxy = rig.straits["e" if rig.engines["e"].posted else "f"]
     proxy.facade = rig.gateway.facade
-    until(lambda: proxy.facade is None)
+    wait_until(lambda: proxy.facade is None)
     rig.returned(1)
     methods = [request[0] for engine in rig.engines.values() for request in engine.asked]
     assert methods.count("POST") == 1 and "DELETE" not in methods
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -7,7 +7,7 @@
 import pytest
 from gevent import socket
 from gevent.event import Event
-from test_close_range import until
+from test_close_range import wait_until
 
 from pathturn.memory.connection_pool import ConnectionPool
 from pathturn.process.clock import unix_clock
@@ -79,7 +79,7 @@
     rig.start()
     failed_addresses = first_connect_fails(rig, monkeypatch, ConnectionRefusedError)
     call_large(rig, 1)
-    until(lambda: failed_addresses)
+    wait_until(lambda: failed_addresses)
     gevent.sleep(EJECTED_S)
     rig.asked("e", "POST", 0)
     rig.unanswered(1)
@@ -109,7 +109,7 @@
 
     monkeypatch.setattr(facade, "predecessors_answered", answered_after_window)
     rig.call(1, "load", patience=3000)
-    until(lambda: retries)
+    wait_until(lambda: retries)
     gevent.sleep(RETRY_WINDOW_S)
     window_ended.set()
     rig.pushed_back(1)
@@ -148,7 +148,7 @@
     rig.call(1, "look")
     rig.returned(1)
     assert len(failed_addresses) == 1
-    until(
+    wait_until(
         lambda: not connection_pool.pending_connections
         and not connection_pool.idle
         and connection_pool.slots.counter == capacity
@@ -202,7 +202,7 @@
     acquire_pending(pool, ENDPOINTS[0])
     assert [connection.closed_with for connection in opened] == [None, "connect_timeout"]
     opened[0].established.set()
-    until(lambda: not pool.pending_connections)
+    wait_until(lambda: not pool.pending_connections)
     assert pool.acquire(ENDPOINTS[0]) is opened[0]
 
 
@@ -211,7 +211,7 @@
     pool, opened = pool_of_pending_connections
     acquire_pending(pool, ENDPOINTS[0])
     pool.retain({ENDPOINTS[1]})
-    until(lambda: opened[0].closed_with)
+    wait_until(lambda: opened[0].closed_with)
     assert not pool.pending_connections
     assert pool.slots.counter == 2
 
