--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""The variants of a site: laid from a folder like the operators', which CI does not have."""
+"""Variants of a site are built from a stand-in for the operators' folder, which CI does not have."""
 
 import subprocess
 import sys
@@ -33,41 +33,44 @@
 
 @pytest.fixture
 def folder(tmp_path):
-    """The command in a repository of its own, beside a folder as the operators lay it."""
-    (sites := tmp_path / "given" / "kit" / "sites").mkdir(parents=True)
+    """Return the script's folder in a temporary repository, beside a copy of the operators' folder layout."""
+    sites = tmp_path / "given" / "kit" / "sites"
+    sites.mkdir(parents=True)
     (sites / "base.toml").write_text(BASE)
     for name in ("real.json", "wire.json", "unlock.txt"):
         (sites / name).write_text(name)
-    (here := tmp_path / "repository" / "deploy" / "sites").mkdir(parents=True)
-    (here / "lay.py").write_text((SITES / "lay.py").read_text())
-    return here
+    script_folder = tmp_path / "repository" / "deploy" / "sites"
+    script_folder.mkdir(parents=True)
+    (script_folder / "lay.py").write_text((SITES / "lay.py").read_text())
+    return script_folder
 
 
-def run(folder: Path, *words: str) -> tuple[int, str, str]:
-    told = subprocess.run(
-        [sys.executable, str(folder / "lay.py"), *words], capture_output=True, text=True, check=False
+def run(folder: Path, *arguments: str) -> tuple[int, str, str]:
+    result = subprocess.run(
+        [sys.executable, str(folder / "lay.py"), *arguments], capture_output=True, text=True, check=False
     )
-    return told.returncode, told.stdout, told.stderr
+    return result.returncode, result.stdout, result.stderr
 
 
-def test_a_variant_changes_what_it_names_and_nothing_else(folder) -> None:
+def test_a_variant_changes_only_the_keys_it_names(folder) -> None:
     (folder / "other.toml").write_text(
         'base = "base.toml"\n[net]\nzones = ["x"]\n[class.load]\nname = "put"\neffect = "unsafe"\n'
         "[tier.fleet.kind.std]\ncores = 4\n"
     )
     code, out, err = run(folder)
     assert (code, err) == (0, "") and out.strip().endswith("deploy/sites/laid/other/other.toml")
-    laid = folder / "laid" / "other"
-    wanted = tomllib.loads(BASE)
-    wanted["name"], wanted["net"]["zones"] = "other", ["x"]
-    wanted["class"][1] = {"name": "put", "effect": "unsafe"}
-    wanted["tier"][0]["kind"][0]["cores"] = 4
-    assert tomllib.loads((laid / "other.toml").read_text()) == wanted
-    assert all((laid / name).read_text() == name for name in ("real.json", "wire.json", "unlock.txt"))
+    output = folder / "laid" / "other"
+    expected = tomllib.loads(BASE)
+    expected["name"] = "other"
+    expected["net"]["zones"] = ["x"]
+    expected["class"][1] = {"name": "put", "effect": "unsafe"}
+    expected["tier"][0]["kind"][0]["cores"] = 4
+    assert tomllib.loads((output / "other.toml").read_text()) == expected
+    assert all((output / name).read_text() == name for name in ("real.json", "wire.json", "unlock.txt"))
 
 
 @pytest.mark.parametrize(
-    ("change", "why"),
+    ("change", "reason"),
     [
         ("[net]\nspeed = 1", "net: the base has no speed"),
         ("[class.report]\nworth = 1", "no entry named report"),
@@ -75,20 +78,20 @@
         ("[tier.fleet.kind.std]\ncore = 1", "has no core"),
     ],
 )
-def test_what_the_base_does_not_have_is_refused_in_one_line(folder, change, why) -> None:
+def test_a_key_missing_from_the_base_is_rejected_with_one_line(folder, change, reason) -> None:
     (folder / "other.toml").write_text(f'base = "base.toml"\n{change}\n')
     code, _, err = run(folder)
-    assert code == 2 and why in err and len(err.splitlines()) == 1
+    assert code == 2 and reason in err and len(err.splitlines()) == 1
 
 
-def test_without_the_operators_folder_it_ends_with_one_clear_line(folder) -> None:
+def test_a_missing_operators_folder_is_reported_in_one_line(folder) -> None:
     (folder / "other.toml").write_text('base = "base.toml"\n')
     code, _, err = run(folder, str(folder / "nowhere"))
     assert code == 2 and len(err.splitlines()) == 1 and "name the operators' folder" in err
 
 
-def test_the_variants_are_sound_and_nothing_laid_is_committed() -> None:
+def test_variants_are_valid_toml_and_generated_sites_are_ignored_by_git() -> None:
     for variant in SITES.glob("*.toml"):
         assert tomllib.loads(variant.read_text())["base"].endswith(".toml")
-    told = ["git", "check-ignore", "-q", str(SITES / "laid" / "x.toml")]
-    assert subprocess.run(told, cwd=SITES, check=False).returncode in (0, 128)  # 128: not in a checkout
+    command = ["git", "check-ignore", "-q", str(SITES / "laid" / "x.toml")]
+    assert subprocess.run(command, cwd=SITES, check=False).returncode in (0, 128)  # 128: not in a checkout
