--- a/tests/test_close_range.py
+++ b/tests/test_close_range.py
@@ -112,7 +112,7 @@
         client.sendall(request_line(1))
         wait_until(lambda: rig.engines["e"].posted)
         client.sendall(b"".join(UNKNOWN_METHOD_LINE % number for number in range(2, 400)))
-        gevent.sleep(0.05)  # by now its reader pauses
+        gevent.sleep(0.05)  # by now the connection's reader pauses
         client.sendall(b'{"jsonrpc":"2.0","method":"abort","params":{"id":1}}\n')
         aborted_at = monotonic()
         assert wait_until(lambda: cancel_requests(rig.engines["e"])) - aborted_at < MAX_CANCEL_DELAY_S
@@ -196,7 +196,7 @@
     assert connects == []
 
 
-# Late and duplicate responses on a connection to an engine are not taken for the next response.
+# Late and duplicate responses of an engine are not taken for the response to the next request.
 
 
 class DuplicatingEngine:
@@ -210,22 +210,22 @@
         self.pending_duplicates = {}
         engine.news = self.news
 
-    def news(self, link, ticket):
-        if (duplicate_sent := self.pending_duplicates.pop(link, None)) is not None:
+    def news(self, connection, ticket):
+        if (duplicate_sent := self.pending_duplicates.pop(connection, None)) is not None:
             duplicate_sent.wait()
             gevent.sleep(0.01)
         behaviour, started_at = self.engine.queries[ticket]
         if self.duplicate_polls and behaviour == "rows:1":
             self.engine.queries[ticket] = ("begun", started_at)
-            self.send(link, 202, [], b"", twice=True)
+            self.send(connection, 202, [], b"", twice=True)
             return
         if behaviour == "result_sent":
             gevent.sleep(0.2)
         self.engine.queries[ticket] = ("result_sent", started_at)
         fields = [("X-Pages", 1), ("X-Cost-Ms", 5), ("X-Needed-Mb", 1)]
-        self.send(link, 200, fields, result_rows(int(ticket, 16)), twice=not self.duplicate_polls)
+        self.send(connection, 200, fields, result_rows(int(ticket, 16)), twice=not self.duplicate_polls)
 
-    def send(self, link, status, fields, body, twice):
+    def send(self, connection, status, fields, body, twice):
         head = [
             f"HTTP/1.1 {status} said",
             *(f"{name}: {value}" for name, value in fields),
@@ -234,10 +234,10 @@
             "",
         ]
         response = "\r\n".join(head).encode() + body
-        link.sendall(response)
+        connection.sendall(response)
         if twice:
-            self.pending_duplicates[link] = sent = Event()
-            gevent.spawn_later(0.01, lambda: (link.sendall(response), sent.set()))
+            self.pending_duplicates[connection] = sent = Event()
+            gevent.spawn_later(0.01, lambda: (connection.sendall(response), sent.set()))
 
 
 def result_rows(number: int) -> bytes:
@@ -283,17 +283,17 @@
     held_responses = []
     answer = engine.answer
 
-    def answer_cancel_late(link, status, fields=(), body=b""):
+    def answer_cancel_late(connection, status, fields=(), body=b""):
         if status == 204 and not held_responses:
             held_responses.append(monotonic())
-            answer(link, 202)
-            gevent.spawn(lambda: release.wait() and answer(link, 204))
+            answer(connection, 202)
+            gevent.spawn(lambda: release.wait() and answer(connection, 204))
         else:
-            answer(link, status, fields, body)
+            answer(connection, status, fields, body)
 
-    def answer_poll_late(link, ticket):
+    def answer_poll_late(connection, ticket):
         gevent.sleep(0.05)
-        answer(link, 202)
+        answer(connection, 202)
 
     engine.answer = answer_cancel_late
     engine.news = answer_poll_late
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -292,8 +292,8 @@
     """Nor does a client with a partial line, or one that sends many requests and never reads."""
     site.engine("e", "rows:1")
     with site.process():
-        with socket.create_connection(site.listen) as idle_client:
-            idle_client.sendall(input_bytes)
+        with socket.create_connection(site.listen) as client:
+            client.sendall(input_bytes)
             site.caller().send("look")
             gevent.sleep(0.2)
             signalled_at = site.terminate()
