--- a/pathturn/config/document.py
+++ b/pathturn/config/document.py
@@ -1,7 +1,7 @@
-"""The operator's document: pools, routes, limits and how a change of them is watched. Shapes only.
+"""Schema of the routing document: pools, routes, limits, and the policy for changes of them.
 
-Read by `read`, which names every fault at once with its path, and by nothing else: a document in the program
-is a whole one. `checks` tells what no shape shows.
+Only `config.read` creates a `Document` from input; it reports all faults of types and units at once, each
+with its path. Rules that a schema can't express are checked by `routing.checks`.
 """
 
 from typing import Literal
@@ -14,14 +14,14 @@
 
 
 class Fallback(Struct, frozen=True, forbid_unknown_fields=True):
-    """Where a pool's batches may go too while it has fewer ready engines than that."""
+    """Another pool that a pool's batches may use while it has fewer than `ready_under` ready engines."""
 
     pool: str
     ready_under: int = 1
 
 
 class Pool(Struct, frozen=True, forbid_unknown_fields=True):
-    """Engines that fit everything that is stated; `ids` is a pattern with * and ?."""
+    """The engines that meet all given conditions; `ids` is a pattern with * and ?."""
 
     zones: tuple[str, ...] | None = None
     machines: tuple[str, ...] | None = None
@@ -31,7 +31,7 @@
 
 
 class Match(Struct, frozen=True, forbid_unknown_fields=True):
-    """A batch fits if it fits each part that is stated; data sets by ranges with both ends in."""
+    """Matches a batch that meets all given conditions; `data_sets` are ranges that include both ends."""
 
     groups: tuple[str, ...] | None = None
     customers: tuple[str, ...] | None = None
@@ -43,7 +43,7 @@
 
 
 class Route(Struct, frozen=True, forbid_unknown_fields=True):
-    """The first that fits counts; to one pool, or to several by weight."""
+    """Sends the batches it matches to one pool, or to several by weight. The first matching route applies."""
 
     name: str
     to: str | Split
@@ -51,7 +51,8 @@
 
 
 class Limit(Struct, frozen=True, forbid_unknown_fields=True):
-    """For one route or one pool. `burst` goes with `rate`; `further` is the share of further dispatches."""
+    """Limits of one route or one pool: `open` batches, a `rate` of new batches with a `burst`, `out` dispatches
+    in flight, and `further`, the retry share."""
 
     name: str
     route: str | None = None
@@ -64,14 +65,19 @@
 
 
 class CanaryStep(Struct, frozen=True, forbid_unknown_fields=True):
+    """The share of the traffic that a change gets, and for how long."""
+
     share: Share
     hold: Micros
 
 
 class ChangePolicy(Struct, frozen=True, forbid_unknown_fields=True):
-    """How the next change is watched. `harm`: what a group must lose, as a share of its batches, to count;
-    `least`: batches of a touched group below which the watch cannot tell, for which `unclear` is the
-    answer."""
+    """How the next change is rolled out and judged.
+
+    `watch` is the time at full traffic before the change is kept. `harm` is the smallest loss, as a share
+    of a group's batches, that counts. `least` is the number of batches of an affected group below which
+    there is no verdict; `unclear` says what to do then.
+    """
 
     watch: Micros = Micros(60_000_000)
     canary: tuple[CanaryStep, ...] = (CanaryStep(Share(0.5), Micros(3_000_000)),)
@@ -82,6 +88,8 @@
 
 
 class Document(Struct, frozen=True, forbid_unknown_fields=True):
+    """A complete routing document."""
+
     version: Literal[1]
     pools: dict[str, Pool]
     default: str | Split
--- a/pathturn/config/installation.py
+++ b/pathturn/config/installation.py
@@ -1,5 +1,5 @@
-"""The operator's file of one gateway: where its document, ledger and control socket are. Not changed while it
-runs."""
+"""The operator file of one gateway: paths of its routing document, ledger and control socket. It is read at
+start-up only."""
 
 from pathlib import Path
 from typing import Literal
@@ -10,8 +10,11 @@
 
 
 class Installation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Paths are relative to the file itself. `document` is the first generation of a new ledger; later ones
-    come by changes alone. Without `control` nothing can be changed while it runs."""
+    """Contents of the operator file; paths are relative to the file.
+
+    `document` becomes the first generation of a new ledger; later generations come from changes only. Without
+    `control` a running gateway can't be changed.
+    """
 
     version: Literal[1]
     document: str
@@ -21,17 +24,19 @@
 
 
 def installation(path: Path) -> Installation:
-    """Raises Unusable with what is wrong."""
+    """Read an operator file. Raise Unusable if it can't be used."""
     try:
-        told = msgspec.json.decode(path.read_bytes(), type=Installation)
-    except OSError as fault:
-        raise Unusable([Fault("", str(fault), "name a file that can be read", str(path))]) from None
-    except msgspec.DecodeError as fault:
-        raise Unusable([Fault("", str(fault), "look at deploy/operator.json", str(path))]) from None
+        settings = msgspec.json.decode(path.read_bytes(), type=Installation)
+    except OSError as error:
+        raise Unusable([Fault("", str(error), "give the path of a readable file", str(path))]) from None
+    except msgspec.DecodeError as error:
+        raise Unusable(
+            [Fault("", str(error), "see the example in deploy/operator.json", str(path))]
+        ) from None
     folder = path.resolve().parent
-    placed = {
+    absolute_paths = {
         name: str(folder / value)
         for name in ("document", "ledger", "control")
-        if (value := getattr(told, name)) is not None
+        if (value := getattr(settings, name)) is not None
     }
-    return msgspec.structs.replace(told, **placed)
+    return msgspec.structs.replace(settings, **absolute_paths)
--- a/pathturn/config/read.py
+++ b/pathturn/config/read.py
@@ -1,5 +1,8 @@
-"""Reads an operator's document: all faults of shape and unit at once, each with its path, what and the
-fix."""
+"""Reads a routing document and reports all faults of types and units at once, each with its path, a
+description and a fix.
+
+Functions that return a generator do the same work in slices, for the background scheduler.
+"""
 
 from collections.abc import Callable, Generator, Iterator
 from difflib import get_close_matches
@@ -12,16 +15,16 @@
 from pathturn.config import units
 from pathturn.config.document import Document, Limit, Route
 
-LARGEST = 16 << 20  # a document of 10,000 routes takes 2 MB
+LARGEST = 16 << 20  # a document of 10,000 routes has 2 MB
 ITEMS = {"routes": Route, "limits": Limit}
-SLICE = 16  # routes or fields looked at between two yields
-MOST_FAULTS = 200  # more tell no more, and a foreign file has one in each line
-# Tells where the value at a path was written; a language that evaluates to a document brings its own.
-Places = Callable[[str], str]
+SLICE_ITEMS = 16  # routes, limits or values processed between two yields
+MOST_FAULTS = 200  # a file of another kind would give one for each line
+# Returns the place in the source of the value at a path, for documents generated from another language.
+Locator = Callable[[str], str]
 
 
 class Fault(NamedTuple):
-    """One thing that is wrong: `path` in the document, `what`, the `fix`, and where it was written."""
+    """One fault: its `path` in the document, `what` is wrong, the `fix`, and the `place` in the source."""
 
     path: str
     what: str
@@ -33,7 +36,7 @@
 
 
 class Unusable(Exception):
-    """A document that has faults; `faults` are all of them."""
+    """The document is invalid; `faults` lists all of its faults."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("; ".join(map(str, faults[:3])))
@@ -41,184 +44,190 @@
 
 
 def nearest(name: str, known: Any) -> str:
+    """Return a fix that suggests the known name closest to a wrong one."""
     close = get_close_matches(name, list(map(str, known)), 1)
     return f"write {close[0]!r}" if close else "use one of " + ", ".join(sorted(map(str, known))[:8])
 
 
 def join(path: str, name: object) -> str:
+    """Append a field name or an index to a path."""
     return f"{path}[{name}]" if isinstance(name, int) else f"{path}.{name}" if path else str(name)
 
 
 def parse(data: bytes) -> Any:
-    """JSON, or the one fault that tells why it is none."""
+    """Decode JSON. Raise Unusable with a single fault if it is too large or no valid JSON."""
     if len(data) > LARGEST:
-        raise Unusable([Fault("", f"{len(data)} bytes", f"keep a document under {LARGEST} bytes")])
+        raise Unusable([Fault("", f"document has {len(data)} bytes", f"keep it to {LARGEST} bytes or less")])
     try:
         return msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise Unusable([Fault("", f"no JSON: {fault}", "mend the text at that byte")]) from None
+        raise Unusable([Fault("", f"invalid JSON: {fault}", "correct the text at that byte")]) from None
 
 
 def parsing(data: bytes | msgspec.Raw) -> Generator[None, None, Any]:
-    """The same in slices: what is long is cut out unread first, and then read piece by piece."""
+    """Decode JSON in slices: the long lists are first split into undecoded items, then decoded one by one."""
     if len(bytes(data)) > LARGEST:
         parse(bytes(data))
     try:
-        parts = msgspec.json.decode(data, type=dict[str, msgspec.Raw])
+        raw_fields = msgspec.json.decode(data, type=dict[str, msgspec.Raw])
         yield
-        found: dict[str, Any] = {}
-        for name, part in parts.items():
-            found[name] = [] if name in ITEMS and bytes(part)[:1] == b"[" else msgspec.json.decode(part)
-            if found[name] == [] and name in ITEMS:
+        fields: dict[str, Any] = {}
+        for name, raw_field in raw_fields.items():
+            fields[name] = (
+                [] if name in ITEMS and bytes(raw_field)[:1] == b"[" else msgspec.json.decode(raw_field)
+            )
+            if fields[name] == [] and name in ITEMS:
                 yield
-                for at, item in enumerate(msgspec.json.decode(part, type=list[msgspec.Raw])):
-                    found[name].append(msgspec.json.decode(item))
-                    if at % SLICE == 0:
+                for index, item in enumerate(msgspec.json.decode(raw_field, type=list[msgspec.Raw])):
+                    fields[name].append(msgspec.json.decode(item))
+                    if index % SLICE_ITEMS == 0:
                         yield
-        return found
+        return fields
     except (msgspec.DecodeError, UnicodeDecodeError):
-        return parse(bytes(data))  # tells what is wrong in words of the whole text
+        return parse(bytes(data))  # its error has the position in the whole text
 
 
-def spend(told: dict[str, Any]) -> Iterator[None]:
-    """Frees what was parsed, in slices: in one go a long document takes ten milliseconds."""
+def spend(fields: dict[str, Any]) -> Iterator[None]:
+    """Free a parsed document in slices: at once, a long one blocks for ten milliseconds."""
     for name in ITEMS:
-        while part := told.get(name):
-            del part[-SLICE:]
+        while items := fields.get(name):
+            del items[-SLICE_ITEMS:]
             yield
 
 
-def reading(raw: Any, places: Places | None = None) -> Generator[None, None, Document]:
-    """The document, whole, in slices. Raises Unusable with every fault of shape."""
+def reading(raw: Any, locate: Locator | None = None) -> Generator[None, None, Document]:
+    """Convert decoded JSON to a document in slices. Raise Unusable with all faults of types and units."""
     faults: list[Fault] = []
-    for turn, fault in enumerate(_faults(raw, inspect.type_info(Document), "")):
+    for step, fault in enumerate(_faults(raw, inspect.type_info(Document), "")):
         if fault is not None and len(faults) < MOST_FAULTS:
             faults.append(fault)
-        if turn % SLICE == 0:
+        if step % SLICE_ITEMS == 0:
             yield
     if faults:
-        raise Unusable(placed(faults, places))
-    parts = {}
-    for name in ("routes", "limits"):  # the two that are long
-        made = parts[name] = []
-        for each in raw.get(name, ()):
-            made.append(msgspec.convert(each, ITEMS[name], dec_hook=_hook, strict=True))
-            if len(made) % SLICE == 0:
+        raise Unusable(with_places(faults, locate))
+    long_lists = {}
+    for name in ("routes", "limits"):
+        converted = long_lists[name] = []
+        for item in raw.get(name, ()):
+            converted.append(msgspec.convert(item, ITEMS[name], dec_hook=_decode_unit, strict=True))
+            if len(converted) % SLICE_ITEMS == 0:
                 yield
-    short = {name: value for name, value in raw.items() if name not in parts}
-    document = msgspec.convert(short, Document, dec_hook=_hook, strict=True)
-    return replace(document, **{name: tuple(made) for name, made in parts.items()})
+    other_fields = {name: value for name, value in raw.items() if name not in long_lists}
+    document = msgspec.convert(other_fields, Document, dec_hook=_decode_unit, strict=True)
+    return replace(document, **{name: tuple(converted) for name, converted in long_lists.items()})
 
 
-def read(raw: Any, places: Places | None = None) -> Document:
-    """The same in one go."""
-    return through(reading(raw, places))
+def read(raw: Any, locate: Locator | None = None) -> Document:
+    """Convert decoded JSON to a document at once."""
+    return through(reading(raw, locate))
 
 
-def through(steps: Generator[None, None, Any]) -> Any:
-    """Runs a job of slices in one go; what it returns."""
+def through(job: Generator[None, None, Any]) -> Any:
+    """Run a generator to its end and return its result."""
     while True:
         try:
-            next(steps)
+            next(job)
         except StopIteration as done:
             return done.value
 
 
-def placed(faults: list[Fault], places: Places | None) -> list[Fault]:
-    return [fault._replace(place=places(fault.path)) for fault in faults] if places else faults
+def with_places(faults: list[Fault], locate: Locator | None) -> list[Fault]:
+    """Add to each fault its place in the source, if a locator is given."""
+    return [fault._replace(place=locate(fault.path)) for fault in faults] if locate else faults
 
 
 def encoding(document: Document) -> Generator[None, None, bytes]:
-    """The same bytes for the same meaning, units gone and fields in order; in slices."""
-    told = bytearray()
+    """Encode a document in its canonical form, in slices: base units and fixed field order, so that equal
+    documents give equal bytes."""
+    encoded = bytearray()
     for name in document.__struct_fields__:
-        value, long = getattr(document, name), name in ITEMS
-        told += b',"%s":%s' % (name.encode(), b"[" if long else b"")
-        for at, each in enumerate(value if long else [value]):
-            told += b"," if at else b""
-            told += msgspec.json.encode(each, enc_hook=_plain, order="deterministic")
-            if at % SLICE == 0:
+        value, is_list = getattr(document, name), name in ITEMS
+        encoded += b',"%s":%s' % (name.encode(), b"[" if is_list else b"")
+        for index, item in enumerate(value if is_list else [value]):
+            encoded += b"," if index else b""
+            encoded += msgspec.json.encode(item, enc_hook=_encode_number, order="deterministic")
+            if index % SLICE_ITEMS == 0:
                 yield
-        told += b"]" if long else b""
-    told[:1] = b"{"
-    told += b"}"
-    return bytes(told)
+        encoded += b"]" if is_list else b""
+    encoded[:1] = b"{"
+    encoded += b"}"
+    return bytes(encoded)
 
 
 def canonical(document: Document) -> bytes:
-    """The same in one go."""
+    """Encode a document in its canonical form at once."""
     return through(encoding(document))
 
 
-def _plain(value: Any) -> Any:
+def _encode_number(value: Any) -> Any:
     return int(value) if isinstance(value, int) else float(value)
 
 
-def _hook(wanted: type, value: Any) -> Any:
-    return units.READERS[wanted](value)
+def _decode_unit(unit: type, value: Any) -> Any:
+    return units.READERS[unit](value)
 
 
 def _faults(value: Any, kind: inspect.Type, path: str) -> Iterator[Fault | None]:
-    """What is wrong, and None where others may go between."""
+    """Yield the faults of a value, and None where the caller may yield to other jobs."""
     if isinstance(kind, inspect.UnionType):
-        kind = _branch(value, kind)
+        kind = _select_member(value, kind)
     if isinstance(kind, inspect.StructType):
-        yield from _struct(value, kind, path)
+        yield from _struct_faults(value, kind, path)
     elif isinstance(kind, inspect.DictType) and type(value) is dict:
-        for name, each in value.items():
-            yield from _faults(each, kind.value_type, join(path, name))
+        for name, item in value.items():
+            yield from _faults(item, kind.value_type, join(path, name))
     elif isinstance(kind, inspect.VarTupleType) and type(value) is list:
-        for at, each in enumerate(value):
+        for index, item in enumerate(value):
             yield None
-            yield from _faults(each, kind.item_type, join(path, at))
+            yield from _faults(item, kind.item_type, join(path, index))
     elif isinstance(kind, inspect.CustomType):
         try:
             units.READERS[kind.cls](value)
         except ValueError as fault:
-            yield Fault(path, f"{value!r} cannot be used", str(fault))
+            yield Fault(path, f"{value!r} is invalid", str(fault))
     else:
-        yield from _leaf(value, kind, path)
+        yield from _scalar_faults(value, kind, path)
 
 
-def _branch(value: Any, kind: inspect.UnionType) -> inspect.Type:
-    """The member that the value looks like, so that a fault is told of what was meant."""
+def _select_member(value: Any, kind: inspect.UnionType) -> inspect.Type:
+    """Return the member type that the value resembles, so that faults refer to the intended one."""
     if value is None and kind.includes_none:
         return inspect.NoneType()
-    rest = [each for each in kind.types if not isinstance(each, inspect.NoneType)]
-    wanted = inspect.DictType if type(value) is dict else inspect.StrType
-    return next((each for each in rest if isinstance(each, wanted)), rest[0])
+    members = [member for member in kind.types if not isinstance(member, inspect.NoneType)]
+    expected = inspect.DictType if type(value) is dict else inspect.StrType
+    return next((member for member in members if isinstance(member, expected)), members[0])
 
 
-def _struct(value: Any, kind: inspect.StructType, path: str) -> Iterator[Fault | None]:
+def _struct_faults(value: Any, kind: inspect.StructType, path: str) -> Iterator[Fault | None]:
     if type(value) is not dict:
-        yield Fault(path, f"a {type(value).__name__} where an object belongs", "write { ... } here")
+        yield Fault(path, f"an object belongs here, not {type(value).__name__}", "write { ... }")
         return
-    fields = {each.encode_name: each for each in kind.fields}
-    for name, each in value.items():
+    fields = {field.encode_name: field for field in kind.fields}
+    for name, item in value.items():
         if name in fields:
-            yield from _faults(each, fields[name].type, join(path, name))
+            yield from _faults(item, fields[name].type, join(path, name))
         else:
             yield Fault(join(path, name), "unknown field", nearest(name, fields))
-    for name, each in fields.items():
-        if each.required and name not in value:
-            yield Fault(join(path, name), "missing", f"state {name}")
+    for name, field in fields.items():
+        if field.required and name not in value:
+            yield Fault(join(path, name), "missing", f"add {name}")
 
 
-def _leaf(value: Any, kind: inspect.Type, path: str) -> Iterator[Fault | None]:
-    wanted = {
-        inspect.StrType: (str, "text"),
+def _scalar_faults(value: Any, kind: inspect.Type, path: str) -> Iterator[Fault | None]:
+    expected = {
+        inspect.StrType: (str, "a string"),
         inspect.IntType: (int, "a whole number"),
-        inspect.NoneType: (type(None), "nothing"),
+        inspect.NoneType: (type(None), "null"),
     }.get(type(kind))
     if isinstance(kind, inspect.LiteralType):
         if value not in kind.values or type(value) is not type(kind.values[0]):
-            yield Fault(path, f"{value!r} is none of the values", nearest(str(value), kind.values))
+            yield Fault(path, f"{value!r} is none of the values allowed", nearest(str(value), kind.values))
     elif isinstance(kind, inspect.TupleType):
-        if type(value) is not list or [type(each) for each in value] != [int, int]:
-            yield Fault(path, f"{value!r} is no range", "write [first, last] in whole numbers")
-    elif wanted is None:
-        yield Fault(path, f"a {type(value).__name__} does not belong here", "look at the operators' page")
-    elif type(value) is not wanted[0]:
-        yield Fault(path, f"a {type(value).__name__} where {wanted[1]} belongs", f"write {wanted[1]}")
+        if type(value) is not list or [type(end) for end in value] != [int, int]:
+            yield Fault(path, f"{value!r} is not a range", "write [first, last] with two whole numbers")
+    elif expected is None:
+        yield Fault(path, f"{type(value).__name__} does not belong here", "see the operators' documentation")
+    elif type(value) is not expected[0]:
+        yield Fault(path, f"{expected[1]} belongs here, not {type(value).__name__}", f"write {expected[1]}")
     elif type(value) is int and value < 0:
-        yield Fault(path, f"{value} is below 0", "write 0 or more")
+        yield Fault(path, f"{value} is negative", "write 0 or more")
--- a/pathturn/config/units.py
+++ b/pathturn/config/units.py
@@ -1,11 +1,11 @@
-"""Units of the operator's document: times to whole microseconds, sizes to bytes, shares and rates to numbers.
+"""Units of the routing document: times become whole microseconds, sizes bytes, shares and rates numbers.
 
-A bare number is taken in the base unit, which is what an evaluated document holds; text carries its unit.
+A number without a unit is in the base unit, as in a document's canonical form; a string has its unit in it.
 """
 
 import re
 
-TEXT = re.compile(r"\s*(\d+(?:\.\d+)?)\s*([A-Za-z%/µ]+)\s*")
+QUANTITY = re.compile(r"\s*(\d+(?:\.\d+)?)\s*([A-Za-z%/µ]+)\s*")
 TIMES = {"us": 1, "µs": 1, "ms": 1_000, "s": 1_000_000, "m": 60_000_000, "h": 3_600_000_000}
 SIZES = {"B": 1, "KB": 1_000, "MB": 1_000_000, "GB": 10**9, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 RATES = {"/s": 1.0, "/m": 1 / 60, "/h": 1 / 3600}
@@ -20,49 +20,49 @@
 
 
 class Share(float):
-    """A part of a whole, 0 to 1."""
+    """A fraction from 0 to 1."""
 
 
 class Rate(float):
-    """So many a second."""
+    """A rate per second."""
 
 
-def _scaled(value: object, units: dict[str, float], example: str) -> float:
+def _to_base_unit(value: object, units: dict[str, float], example: str) -> float:
     if type(value) in (int, float):
         return float(value)
-    found = TEXT.fullmatch(value) if isinstance(value, str) else None
-    if found is None or found[2] not in units:
-        raise ValueError(f"expected a figure such as {example}, with one of the units {', '.join(units)}")
-    return float(found[1]) * units[found[2]]
+    match = QUANTITY.fullmatch(value) if isinstance(value, str) else None
+    if match is None or match[2] not in units:
+        raise ValueError(f"expected a value such as {example}, with one of these units: {', '.join(units)}")
+    return float(match[1]) * units[match[2]]
 
 
 def micros(value: object) -> Micros:
-    """Raises ValueError with what would be right."""
-    figure = _scaled(value, TIMES, "250ms")
-    if figure < 0 or figure != int(figure):
-        raise ValueError("a time is a whole number of microseconds, and not below 0")
-    return Micros(figure)
+    """Parse a time. Raise ValueError with the expected form."""
+    number = _to_base_unit(value, TIMES, "250ms")
+    if number < 0 or number != int(number):
+        raise ValueError("a time must be a whole number of microseconds and not negative")
+    return Micros(number)
 
 
 def size(value: object) -> Bytes:
-    figure = _scaled(value, SIZES, "64KiB")
-    if figure < 0 or figure != int(figure):
-        raise ValueError("a size is a whole number of bytes, and not below 0")
-    return Bytes(figure)
+    number = _to_base_unit(value, SIZES, "64KiB")
+    if number < 0 or number != int(number):
+        raise ValueError("a size must be a whole number of bytes and not negative")
+    return Bytes(number)
 
 
 def share(value: object) -> Share:
-    figure = _scaled(value, {"%": 0.01}, "5%")
-    if not 0 <= figure <= 1:
-        raise ValueError("a share lies between 0 and 1, or 0% and 100%")
-    return Share(figure)
+    number = _to_base_unit(value, {"%": 0.01}, "5%")
+    if not 0 <= number <= 1:
+        raise ValueError("a share must be between 0 and 1, or 0% and 100%")
+    return Share(number)
 
 
 def rate(value: object) -> Rate:
-    figure = _scaled(value, RATES, "30/s")
-    if figure <= 0:
-        raise ValueError("a rate is above 0")
-    return Rate(figure)
+    number = _to_base_unit(value, RATES, "30/s")
+    if number <= 0:
+        raise ValueError("a rate must be more than 0")
+    return Rate(number)
 
 
 READERS = {Micros: micros, Bytes: size, Share: share, Rate: rate}
