--- a/pathturn/cli/__init__.py
+++ b/pathturn/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one file a family; what only one command needs is imported in it."""
+"""The command line. One module per group of commands; what only one command needs is imported inside it."""
 
 import typer
 
--- a/pathturn/cli/config.py
+++ b/pathturn/cli/config.py
@@ -1,4 +1,4 @@
-"""Commands on documents that need no gateway."""
+"""Commands on routing documents that need no running gateway."""
 
 from pathlib import Path
 from typing import Annotated
@@ -7,13 +7,13 @@
 
 from pathturn.cli import common
 
-app = typer.Typer(no_args_is_help=True, help="Look at an operator's document.")
-Engine = Annotated[
+app = typer.Typer(no_args_is_help=True, help="Inspect a routing document.")
+GatewayConfig = Annotated[
     Path | None,
     typer.Option(
         "--gateway",
         metavar="CONFIG",
-        help="a gateway's configuration, to check against its service groups, list and limits",
+        help="a gateway's configuration, to check against its service groups, engine list and limits",
     ),
 ]
 
@@ -21,32 +21,32 @@
 @app.command()
 def check(
     file: Annotated[Path, typer.Argument(help="a document in JSON, or - for standard input")],
-    gateway: Engine = None,
+    gateway: GatewayConfig = None,
     as_json: common.AsJson = False,
 ) -> None:
-    """Tell everything that is wrong with a document. Exit 0: nothing, 1: faults, 2: usage."""
+    """Report all faults of a document. Exit codes: 0 no faults, 1 faults, 2 usage."""
     from pathturn.config.read import Unusable, parse, read
     from pathturn.routing.checks import validate
 
     try:
         document = read(parse(common.read_file(file)))
         faults = validate(document, _validation_context(gateway)) if gateway is not None else []
-    except Unusable as fault:
-        faults = fault.faults
+    except Unusable as error:
+        faults = error.faults
     if faults:
-        common.show_faults([each._asdict() for each in faults], as_json, str(file))
+        common.show_faults([fault._asdict() for fault in faults], as_json, str(file))
         raise typer.Exit(common.FAULTY)
-    told = {"routes": len(document.routes), "pools": len(document.pools), "limits": len(document.limits)}
+    counts = {"routes": len(document.routes), "pools": len(document.pools), "limits": len(document.limits)}
     common.show(
-        told,
+        counts,
         as_json,
-        "nothing wrong: "
-        + ", ".join(f"{n} {name}" for name, n in told.items())
-        + ("" if gateway is not None else "; names and rules need --gateway"),
+        "no faults: "
+        + ", ".join(f"{number} {name}" for name, number in counts.items())
+        + ("" if gateway is not None else "; names and rules are checked only with --gateway"),
     )
 
 
-def _validation_context(path: Path):  # noqa: ANN202 - its type is imported by the command alone
+def _validation_context(path: Path):  # noqa: ANN202 - its type is imported inside the command only
     import orjson
 
     from pathturn.core.interface import EngineEntry
@@ -54,9 +54,9 @@
     from pathturn.routing.checks import ValidationContext
     from pathturn.wire import discovery_protocol
 
-    with common.plain_faults():
-        told = orjson.loads(path.read_bytes())
-        _, rows = discovery_protocol.parse_initial_list(told["known"])
-        _, groups = build_dispatcher(int(told["seed"], 16), told["settings"])
-    engines = tuple(EngineEntry(at, row[0], *row[2:6]) for at, row in enumerate(rows))
-    return ValidationContext(groups, engines, retry_share(told["settings"]))
+    with common.exit_on_config_error():
+        config = orjson.loads(path.read_bytes())
+        _, listed = discovery_protocol.parse_initial_list(config["known"])
+        _, groups = build_dispatcher(int(config["seed"], 16), config["settings"])
+    engines = tuple(EngineEntry(index, entry[0], *entry[2:6]) for index, entry in enumerate(listed))
+    return ValidationContext(groups, engines, retry_share(config["settings"]))
--- a/pathturn/cli/demo.py
+++ b/pathturn/cli/demo.py
@@ -1,4 +1,4 @@
-"""A gateway between stand-ins on loopback, for whoever is new here."""
+"""The demo command: a gateway between simulated engines and clients on loopback."""
 
 from typing import Annotated
 
@@ -10,10 +10,12 @@
 
 
 def demo(
-    harm: Annotated[bool, typer.Option("--harm", help="apply a harmful change, see it undone")] = False,
+    harm: Annotated[
+        bool, typer.Option("--harm", help="apply a harmful change and watch it being rolled back")
+    ] = False,
     seconds: Annotated[float, typer.Option(min=3, max=600)] = 15.0,
 ) -> None:
-    """Run a gateway with stand-in engines, directory and clients for some seconds, and print what was
+    """Run a gateway with simulated engines, directory and clients for some seconds, and print what it
     served."""
     from pathturn.standins.demo import run
 
--- a/pathturn/cli/serve.py
+++ b/pathturn/cli/serve.py
@@ -1,11 +1,11 @@
-"""The gateway itself, and what looks at its configuration."""
+"""Commands that run a gateway or inspect its configuration."""
 
 from pathlib import Path
 from typing import Annotated
 
 import typer
 
-from pathturn.cli.common import plain_faults
+from pathturn.cli.common import exit_on_config_error
 from pathturn.process.limits import connection_limits
 from pathturn.process.settings import build_dispatcher
 from pathturn.wire import discovery_protocol
@@ -19,7 +19,10 @@
 OperatorFile = Annotated[
     Path | None,
     typer.Option(
-        "--operator", envvar="PATHTURN_OPERATOR", metavar="FILE", help="routes, changes, control socket"
+        "--operator",
+        envvar="PATHTURN_OPERATOR",
+        metavar="FILE",
+        help="the operator file: routing document, ledger, control socket",
     ),
 ]
 
@@ -32,8 +35,8 @@
 
 
 def serve(config: ConfigFile = None, operator: OperatorFile = None) -> None:
-    """Run one gateway in the foreground until SIGTERM; SIGHUP has it read its configuration again."""
-    from pathturn.process import start  # here, since only this command needs the event loop
+    """Run one gateway in the foreground until SIGTERM; SIGHUP reloads its configuration."""
+    from pathturn.process import start  # not at the top: only this command needs the event loop
 
     start.serve(config, operator)
 
@@ -42,20 +45,23 @@
     """Read a configuration and print what a gateway would start with."""
     from pathturn.process.start import read_config
 
-    with plain_faults():
-        told = read_config(config)
-        serial, rows = discovery_protocol.parse_initial_list(told["known"])
-        _, groups = build_dispatcher(int(told["seed"], 16), told["settings"])
-        clients, engines = connection_limits(told["limits"]["sockets"])
-    typer.echo(f"{told['name']} on {told['listen']}, list of event {serial}, from {told['names']}")
+    with exit_on_config_error():
+        content = read_config(config)
+        serial, listed = discovery_protocol.parse_initial_list(content["known"])
+        _, groups = build_dispatcher(int(content["seed"], 16), content["settings"])
+        clients, engines = connection_limits(content["limits"]["sockets"])
+    typer.echo(
+        f"{content['name']} on {content['listen']}, "
+        f"engine list of event {serial}, directory {content['names']}"
+    )
     typer.echo(f"connections: {clients} from clients, {engines} to engines")
     typer.echo("service groups: " + ", ".join(groups))
-    for identity, (host, port), zone, machine, *_ in rows:
+    for identity, (host, port), zone, machine, *_ in listed:
         typer.echo(f"engine {identity} at {host}:{port}, {zone}, {machine}")
 
 
 def data_set_of(statement: StatementFile) -> None:
-    """Print the data set that a statement touches, as a gateway reads it; 0 if it names none."""
+    """Print the data set that a gateway recognizes in a statement; 0 if it names none."""
     typer.echo(data_set(statement.read()))
 
 
--- a/pathturn/config/document.py
+++ b/pathturn/config/document.py
@@ -51,8 +51,8 @@
 
 
 class Limit(Struct, frozen=True, forbid_unknown_fields=True):
-    """Limits of one route or one pool: `open` batches, a `rate` of new batches with a `burst`, `out` dispatches
-    in flight, and `further`, the retry share."""
+    """Limits of one route or one pool: `open` batches, a `rate` of new batches with a `burst`, `out`
+    dispatches in flight, and `further`, the retry share."""
 
     name: str
     route: str | None = None
--- a/pathturn/control/peer.py
+++ b/pathturn/control/peer.py
@@ -1,4 +1,4 @@
-"""The tools' end of the control socket: one call, one answer, on a plain socket."""
+"""Client of the control socket, for command-line tools. It blocks, and has one call at a time."""
 
 import socket
 from itertools import count
@@ -6,50 +6,54 @@
 
 import msgspec
 
-PATIENCE_S = 30.0  # a document of 10,000 routes is checked in a second or two
+RESPONSE_TIMEOUT_S = 30.0  # a check of a document of 10,000 routes takes one to two seconds
 
 
 class Unanswered(Exception):
-    """No gateway answered on that path."""
+    """No gateway responded on the control socket."""
 
 
 class Answered(Exception):
-    """An error, as the gateway told it: `code`, its text, and `data`."""
+    """An error response of the gateway: its `code`, message and `data`."""
 
     def __init__(self, error: dict[str, Any]) -> None:
         super().__init__(error["message"])
-        self.code, self.data = error["code"], error.get("data", {})
+        self.code = error["code"]
+        self.data = error.get("data", {})
 
 
 class Peer:
+    """A connection to a gateway's control socket."""
+
     def __init__(self, path: str) -> None:
-        self.numbers = count(1)
-        self.link = socket.socket(socket.AF_UNIX)
-        self.link.settimeout(PATIENCE_S)
+        self.request_ids = count(1)
+        self.socket = socket.socket(socket.AF_UNIX)
+        self.socket.settimeout(RESPONSE_TIMEOUT_S)
         try:
-            self.link.connect(path)
-        except OSError as fault:
+            self.socket.connect(path)
+        except OSError as error:
             raise Unanswered(
-                f"{path}: {fault.strerror or fault}; is the gateway running, with `control` in "
-                "its operator's file?"
-            ) from fault
-        self.lines = self.link.makefile("rb")
+                f"{path}: {error.strerror or error}; is the gateway running, with `control` in "
+                "its operator file?"
+            ) from error
+        self.reader = self.socket.makefile("rb")
 
     def call(self, method: str, **params: Any) -> Any:
-        number = next(self.numbers)
-        message = {"jsonrpc": "2.0", "id": number, "method": method, "params": params}
+        """Send a request and return its result. Raise Answered for an error response, Unanswered for none."""
+        request_id = next(self.request_ids)
+        request = {"jsonrpc": "2.0", "id": request_id, "method": method, "params": params}
         try:
-            self.link.sendall(msgspec.json.encode(message) + b"\n")
-            line = self.lines.readline()
-        except OSError as fault:
-            raise Unanswered(f"{method}: {fault}") from fault
+            self.socket.sendall(msgspec.json.encode(request) + b"\n")
+            line = self.reader.readline()
+        except OSError as error:
+            raise Unanswered(f"{method}: {error}") from error
         if not line:
-            raise Unanswered(f"{method}: the gateway ended the connection")
-        answer = msgspec.json.decode(line)
-        if "error" in answer:
-            raise Answered(answer["error"])
-        return answer["result"]
+            raise Unanswered(f"{method}: the gateway closed the connection")
+        response = msgspec.json.decode(line)
+        if "error" in response:
+            raise Answered(response["error"])
+        return response["result"]
 
     def close(self) -> None:
-        self.lines.close()
-        self.link.close()
+        self.reader.close()
+        self.socket.close()
--- a/pathturn/control/server.py
+++ b/pathturn/control/server.py
@@ -1,4 +1,5 @@
-"""The control socket: a Unix socket for this user alone. Its peers meet the same bounds as bad clients."""
+"""Server of the control socket: a Unix socket that only this user can open. Connections are limited in
+number, line length and time, as those of clients are."""
 
 import os
 import stat
@@ -11,24 +12,30 @@
 from gevent.server import StreamServer
 
 from pathturn.config.read import LARGEST
-from pathturn.control.protocol import MALFORMED, Calls, fault_line
+from pathturn.control.protocol import PARSE_ERROR, Calls, error_line
 from pathturn.wire.jsonrpc import LineSplitter, StreamError
 
-MOST_PEERS = 8
-LONGEST_LINE = LARGEST + 4096  # a document, and what a call puts around it
-# A line is sent in one go by our own tools; a watch asks twice a second.
-HALF_S, IDLE_S, WRITE_S = 10.0, 300.0, 5.0
-PIECE = 65_536
+MAX_CONNECTIONS = 8
+MAX_LINE_BYTES = LARGEST + 4096  # a document and the rest of its request
+# The command-line tools send a line at once, and `change watch` polls twice a second.
+LINE_TIMEOUT_S = 10.0
+IDLE_TIMEOUT_S = 300.0
+WRITE_TIMEOUT_S = 5.0
+RECEIVE_BYTES = 65_536
 
 
 class InUse(Exception):
-    """Another process answers on the socket's path."""
+    """The socket's path is in use by another process or a file of another kind."""
 
 
 class Control:
+    """Serves the control socket; each connection has a greenlet of its own."""
+
     def __init__(self, path: Path, calls: Calls, log: Callable[[str], None]) -> None:
-        self.path, self.calls, self.log = path, calls, log
-        self.server = StreamServer(listener(path), self._peer, spawn=Pool(MOST_PEERS))
+        self.path = path
+        self.calls = calls
+        self.log = log
+        self.server = StreamServer(listener(path), self._serve_connection, spawn=Pool(MAX_CONNECTIONS))
 
     def start(self) -> None:
         self.server.start()
@@ -37,58 +44,59 @@
         self.server.stop(0)
         self.path.unlink(missing_ok=True)
 
-    def _peer(self, link: socket.socket, _: object) -> None:
-        answered, code = 0, "closed"
-        lines = LineSplitter(LONGEST_LINE)
+    def _serve_connection(self, connection: socket.socket, _: object) -> None:
+        answered = 0
+        code = "closed"
+        lines = LineSplitter(MAX_LINE_BYTES)
         try:
-            while piece := self._receive(link, bool(lines.partial)):
-                for line in lines.feed(memoryview(piece)):
-                    answer = self.calls.answer(line)  # a large document takes its time
-                    with gevent.Timeout(WRITE_S, TimeoutError):
-                        link.sendall(answer)
+            while received := self._receive(connection, bool(lines.partial)):
+                for line in lines.feed(memoryview(received)):
+                    response = self.calls.answer(line)  # may take long: a large document is checked in slices
+                    with gevent.Timeout(WRITE_TIMEOUT_S, TimeoutError):
+                        connection.sendall(response)
                     answered += 1
                 gevent.sleep(0)
-        except StreamError as fault:
-            code = str(fault)
-            self._last_word(link, code)
+        except StreamError as error:
+            code = str(error)
+            self._send_stream_error(connection, code)
         except TimeoutError:
             code = "partial_line" if lines.partial else "idle"
-        except OSError as fault:
-            code = f"lost_{type(fault).__name__}"
+        except OSError as error:
+            code = f"lost_{type(error).__name__}"
         finally:
-            link.close()
+            connection.close()
             self.log(f"control peer answered={answered} code={code}")
 
-    def _receive(self, link: socket.socket, half: bool) -> bytes:
-        link.settimeout(HALF_S if half else IDLE_S)
-        return link.recv(PIECE)
+    def _receive(self, connection: socket.socket, has_partial_line: bool) -> bytes:
+        connection.settimeout(LINE_TIMEOUT_S if has_partial_line else IDLE_TIMEOUT_S)
+        return connection.recv(RECEIVE_BYTES)
 
-    def _last_word(self, link: socket.socket, code: str) -> None:
+    def _send_stream_error(self, connection: socket.socket, code: str) -> None:
         try:
-            with gevent.Timeout(WRITE_S, TimeoutError):
-                link.sendall(fault_line(None, MALFORMED, code))
+            with gevent.Timeout(WRITE_TIMEOUT_S, TimeoutError):
+                connection.sendall(error_line(None, PARSE_ERROR, code))
         except OSError:
             return
 
 
 def listener(path: Path) -> socket.socket:
-    """Bound with mode 0600 from its first moment. What a killed gateway left there is taken away; where
-    another one answers, InUse is raised."""
+    """Return a listening socket whose file has mode 0600 from the start. Replace the socket file of a gateway
+    that was killed; raise InUse if another process accepts connections on it."""
     if path.exists():
         if not stat.S_ISSOCK(path.stat().st_mode):
-            raise InUse(f"{path}: there is a file that is no socket; name another path")
+            raise InUse(f"{path}: the file is not a socket; use another path")
         with socket.socket(socket.AF_UNIX) as probe:
             try:
                 probe.connect(str(path))
             except OSError:
                 path.unlink(missing_ok=True)
             else:
-                raise InUse(f"{path}: another process answers there")
-    link = socket.socket(socket.AF_UNIX)
-    before = os.umask(0o177)
+                raise InUse(f"{path}: another process accepts connections on this socket")
+    listening = socket.socket(socket.AF_UNIX)
+    previous_umask = os.umask(0o177)
     try:
-        link.bind(str(path))
+        listening.bind(str(path))
     finally:
-        os.umask(before)
-    link.listen(MOST_PEERS)
-    return link
+        os.umask(previous_umask)
+    listening.listen(MAX_CONNECTIONS)
+    return listening
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -284,7 +284,7 @@
 def test_the_control_socket_is_private_and_tolerates_misbehaving_peers(site, tmp_path, monkeypatch) -> None:
     path = tmp_path / "control"
     assert stat.S_IMODE(path.stat().st_mode) == 0o600
-    monkeypatch.setattr(server, "HALF_S", 0.2)
+    monkeypatch.setattr(server, "LINE_TIMEOUT_S", 0.2)
     codes = [
         response["error"]["code"]
         for response in control_responses(
@@ -304,9 +304,9 @@
     assert control_responses(path, b'{"method"') == [] and monotonic() - sent_at < 2, (
         "the connection of a partial line was not closed"
     )
-    monkeypatch.setattr(server, "LONGEST_LINE", 1000)
+    monkeypatch.setattr(server, "MAX_LINE_BYTES", 1000)
     assert control_responses(path, b"x" * 5000, end=True)[0]["error"]["message"] == "overlong_line"
-    idle_peers = [socket.socket(socket.AF_UNIX) for _ in range(server.MOST_PEERS + 4)]
+    idle_peers = [socket.socket(socket.AF_UNIX) for _ in range(server.MAX_CONNECTIONS + 4)]
     for peer in idle_peers:
         peer.connect(str(path))
     caller = site.crowd.callers[0]
@@ -323,7 +323,7 @@
     with pytest.raises(server.InUse, match="another process"):
         server.listener(tmp_path / "control")
     (tmp_path / "file").write_text("x")
-    with pytest.raises(server.InUse, match="no socket"):
+    with pytest.raises(server.InUse, match="not a socket"):
         server.listener(tmp_path / "file")
     server.listener(tmp_path / "stale").close()
     assert (tmp_path / "stale").exists()
