--- a/benchmarks/change.py
+++ b/benchmarks/change.py
@@ -21,7 +21,7 @@
 from pathturn.change.ledger import Ledger
 from pathturn.change.states import Change
 from pathturn.config.document import ChangePolicy, Document, Match, Pool, Route
-from pathturn.config.read import canonical, through
+from pathturn.config.read import canonical, run_to_completion
 from pathturn.routing.index import RouteIndex
 from pathturn.routing.table import match_boxes
 
@@ -231,7 +231,7 @@
     expected = [scan(plain, *each) for each in asked]
     linear = (time.perf_counter() - began) / len(asked) * 1e6
     index = RouteIndex(("look", "pay", "load"))
-    through(index.build(match_boxes(document)))
+    run_to_completion(index.build(match_boxes(document)))
     if [index.first_match(*each) for each in asked] != expected:
         raise AssertionError("the index and the scan differ")
     return {
@@ -244,7 +244,7 @@
 
 def _lookup_us(number: int, times: int) -> float:
     index = RouteIndex(("look", "pay", "load"))
-    through(index.build(match_boxes(routes(number))))
+    run_to_completion(index.build(match_boxes(routes(number))))
     asked = _asked(number, 500)
     best = float("inf")
     for _ in range(3):
--- a/benchmarks/change_wire.py
+++ b/benchmarks/change_wire.py
@@ -14,7 +14,7 @@
 
 from benchmarks.change import routes
 from pathturn.change.manager import ChangeRequest
-from pathturn.config.read import canonical, parse, read, through
+from pathturn.config.read import canonical, parse, read, run_to_completion
 from pathturn.process.gateway import GatewayProcess
 from pathturn.routing.checks import validate_in_slices
 from pathturn.routing.router import Router
@@ -120,8 +120,8 @@
     gevent.sleep(0.1)
     beat.taken()
     document = read(parse(orjson.dumps(raw)))
-    through(validate_in_slices(document, gateway.operator.validation_context()))
-    through(Router().compile(RoutingTable(9, document, gateway.facade.groups)))
+    run_to_completion(validate_in_slices(document, gateway.operator.validation_context()))
+    run_to_completion(Router().compile(RoutingTable(9, document, gateway.facade.groups)))
     gevent.sleep(0.05)
     return {
         "longest_stall_ms": max(min(gap) for gap, _ in runs),
@@ -155,7 +155,7 @@
     gevent.sleep(0.1)  # what was made ready just now is no stall of the gateway's
     beat.taken()
     began = monotonic()
-    answer = orjson.loads(gateway.operator.control.calls.answer(line))
+    answer = orjson.loads(gateway.operator.control.calls.handle_line(line))
     staged = monotonic() - began
     if "error" in answer:
         raise AssertionError(answer)
--- a/pathturn/change/ledger.py
+++ b/pathturn/change/ledger.py
@@ -17,7 +17,7 @@
 
 from pathturn.change.states import Change, roll_back
 from pathturn.config.document import Document
-from pathturn.config.read import Unusable, parse, read
+from pathturn.config.read import InvalidDocumentError, parse, read
 
 FORMAT_VERSION = 1
 APPLICATION_ID = 0x70617468  # "path" in ASCII; distinguishes ledgers from other programs' SQLite files
@@ -156,7 +156,7 @@
         self._verify(row[1], number, row[0])
         try:
             return read(parse(row[0]))
-        except Unusable as fault:
+        except InvalidDocumentError as fault:
             raise LedgerUnusableError(f"{self.path}: generation {number} is invalid: {fault}") from fault
 
     def find_change(self, identity: str) -> Change | None:
--- a/pathturn/change/manager.py
+++ b/pathturn/change/manager.py
@@ -31,7 +31,16 @@
 from pathturn.change.recent_outcomes import RecentOutcomes
 from pathturn.change.states import Change, ChangeRefusedError, Observation
 from pathturn.config.document import Document
-from pathturn.config.read import Unusable, canonical, encoding, parse, parsing, reading, spend, through
+from pathturn.config.read import (
+    InvalidDocumentError,
+    canonical,
+    encode_in_slices,
+    free_in_slices,
+    parse,
+    parse_in_slices,
+    read_in_slices,
+    run_to_completion,
+)
 from pathturn.core import interface as names
 from pathturn.memory.batches import Batch, End
 from pathturn.memory.facade import Facade
@@ -92,27 +101,27 @@
     def start(self, document: Path) -> None:
         """Roll back what the last process left open, then activate the current generation.
 
-        Called before the first batch. `document` is the first generation of a new ledger. Raises Unusable,
-        LedgerUnusableError or LedgerWriteError.
+        Called before the first batch. `document` is the first generation of a new ledger. Raises
+        InvalidDocumentError, LedgerUnusableError or LedgerWriteError.
         """
         rolled_back = self.ledger.recover(self.clock())
         if rolled_back is not None:
             self.log(f"change {rolled_back.id} code=undone reason={rolled_back.reason}")
         number = self.ledger.current_generation()
         if not number:
-            first = self._validated(through(reading(parse(document.read_bytes()))))
+            first = self._validated(run_to_completion(read_in_slices(parse(document.read_bytes()))))
             number = self.ledger.initialize(canonical(first))
         self.router.update_engines(self.facade.engine_registry.engine_entries)
         table = RoutingTable(number, self.ledger.document(number), self.facade.groups)
-        through(self.router.compile(table))
+        run_to_completion(self.router.compile(table))
         self.router.activate(table)
         self.facade.use_router(self.router, batch_attributes, self.on_batch_end)
         self.log(f"generation {number} code=activated routes={len(table.targets)} pools={len(table.pools)}")
 
     def _validated(self, document: Document) -> Document:
-        faults = through(validate_in_slices(document, self.validation_context()))
+        faults = run_to_completion(validate_in_slices(document, self.validation_context()))
         if faults:
-            raise Unusable(faults)
+            raise InvalidDocumentError(faults)
         return document
 
     def run(self) -> None:
@@ -136,26 +145,26 @@
     def check(self, raw: Any) -> Document:
         """Parse and validate a document in the background, as it may be large.
 
-        Raises Unusable with all faults.
+        Raises InvalidDocumentError with all faults.
         """
         return self._run_job("check", self._parse_and_validate(raw))
 
     def _parse_and_validate(self, raw: Any) -> Generator[None, None, Document]:
         if isinstance(raw, (bytes, Raw)):
-            decoded = yield from parsing(raw)
-            document = yield from reading(decoded)
-            yield from spend(decoded)
+            decoded = yield from parse_in_slices(raw)
+            document = yield from read_in_slices(decoded)
+            yield from free_in_slices(decoded)
         else:
-            document = yield from reading(raw)
+            document = yield from read_in_slices(raw)
         faults = yield from validate_in_slices(document, self.validation_context())
         if faults:
-            raise Unusable(faults)
+            raise InvalidDocumentError(faults)
         return document
 
     def stage(self, request: ChangeRequest) -> Change:
         """Stage a change; a change that is known already is returned in its present state.
 
-        Raises Unusable or ChangeRefusedError.
+        Raises InvalidDocumentError or ChangeRefusedError.
         """
         _validate_request(request)
         document = self.check(request.document)
@@ -181,7 +190,9 @@
             change = replace(change, what=what)
             table = RoutingTable(change.generation, document, self.facade.groups)
             self._run_job("compile", self.router.compile(table))
-            self._write(self.ledger.record_staged, change, self._run_job("encode", encoding(document)))
+            self._write(
+                self.ledger.record_staged, change, self._run_job("encode", encode_in_slices(document))
+            )
             self.change, self.candidate_table = change, table
             self._log_state(change)
             return change
--- a/pathturn/cli/change.py
+++ b/pathturn/cli/change.py
@@ -36,17 +36,17 @@
 
 @contextmanager
 def _connect(control: str, as_json: bool, source: str = "document") -> Iterator[Any]:
-    from pathturn.control.peer import Answered, Peer, Unanswered
+    from pathturn.control.peer import ControlClient, ControlError, NoGatewayError
 
     try:
-        peer = Peer(control)
+        peer = ControlClient(control)
         try:
             yield peer
         finally:
             peer.close()
-    except Unanswered as error:
+    except NoGatewayError as error:
         raise common.fail(common.NO_RESPONSE, str(error)) from None
-    except Answered as error:
+    except ControlError as error:
         if "faults" in error.data:
             common.show_faults(error.data["faults"], as_json, source)
             raise typer.Exit(common.FAULTY) from None
@@ -54,11 +54,11 @@
 
 
 def _read_document(file: Path) -> Any:
-    from pathturn.config.read import Unusable, parse
+    from pathturn.config.read import InvalidDocumentError, parse
 
     try:
         return parse(common.read_file(file))
-    except Unusable as error:
+    except InvalidDocumentError as error:
         common.show_faults([fault._asdict() for fault in error.faults], False, str(file))
         raise typer.Exit(common.FAULTY) from None
 
--- a/pathturn/cli/config.py
+++ b/pathturn/cli/config.py
@@ -25,13 +25,13 @@
     as_json: common.AsJson = False,
 ) -> None:
     """Report all faults of a document. Exit codes: 0 no faults, 1 faults, 2 usage."""
-    from pathturn.config.read import Unusable, parse, read
+    from pathturn.config.read import InvalidDocumentError, parse, read
     from pathturn.routing.checks import validate
 
     try:
         document = read(parse(common.read_file(file)))
         faults = validate(document, _validation_context(gateway)) if gateway is not None else []
-    except Unusable as error:
+    except InvalidDocumentError as error:
         faults = error.faults
     if faults:
         common.show_faults([fault._asdict() for fault in faults], as_json, str(file))
--- a/pathturn/config/installation.py
+++ b/pathturn/config/installation.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from pathturn.config.read import Fault, Unusable
+from pathturn.config.read import Fault, InvalidDocumentError
 
 
 class Installation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -23,14 +23,16 @@
     log: Literal["plain", "console", "json"] = "plain"
 
 
-def installation(path: Path) -> Installation:
-    """Read an operator file. Raise Unusable if it can't be used."""
+def read_installation(path: Path) -> Installation:
+    """Read an operator file. Raise InvalidDocumentError if it can't be used."""
     try:
         settings = msgspec.json.decode(path.read_bytes(), type=Installation)
     except OSError as error:
-        raise Unusable([Fault("", str(error), "give the path of a readable file", str(path))]) from None
+        raise InvalidDocumentError(
+            [Fault("", str(error), "give the path of a readable file", str(path))]
+        ) from None
     except msgspec.DecodeError as error:
-        raise Unusable(
+        raise InvalidDocumentError(
             [Fault("", str(error), "see the example in deploy/operator.json", str(path))]
         ) from None
     folder = path.resolve().parent
--- a/pathturn/config/read.py
+++ b/pathturn/config/read.py
@@ -15,10 +15,10 @@
 from pathturn.config import units
 from pathturn.config.document import Document, Limit, Route
 
-LARGEST = 16 << 20  # a document of 10,000 routes has 2 MB
+MAX_DOCUMENT_BYTES = 16 << 20  # a document of 10,000 routes has 2 MB
 ITEMS = {"routes": Route, "limits": Limit}
 SLICE_ITEMS = 16  # routes, limits or values processed between two yields
-MOST_FAULTS = 200  # a file of another kind would give one for each line
+MAX_FAULTS = 200  # a file of another kind would give one for each line
 # Returns the place in the source of the value at a path, for documents generated from another language.
 Locator = Callable[[str], str]
 
@@ -35,7 +35,7 @@
         return f"{self.place or 'document'}: {self.path or '(all)'}: {self.what}; fix: {self.fix}"
 
 
-class Unusable(Exception):
+class InvalidDocumentError(Exception):
     """The document is invalid; `faults` lists all of its faults."""
 
     def __init__(self, faults: list[Fault]) -> None:
@@ -43,7 +43,7 @@
         self.faults = faults
 
 
-def nearest(name: str, known: Any) -> str:
+def suggest_name(name: str, known: Any) -> str:
     """Return a fix that suggests the known name closest to a wrong one."""
     close = get_close_matches(name, list(map(str, known)), 1)
     return f"write {close[0]!r}" if close else "use one of " + ", ".join(sorted(map(str, known))[:8])
@@ -55,18 +55,22 @@
 
 
 def parse(data: bytes) -> Any:
-    """Decode JSON. Raise Unusable with a single fault if it is too large or no valid JSON."""
-    if len(data) > LARGEST:
-        raise Unusable([Fault("", f"document has {len(data)} bytes", f"keep it to {LARGEST} bytes or less")])
+    """Decode JSON. Raise InvalidDocumentError with a single fault if it is too large or no valid JSON."""
+    if len(data) > MAX_DOCUMENT_BYTES:
+        raise InvalidDocumentError(
+            [Fault("", f"document has {len(data)} bytes", f"keep it to {MAX_DOCUMENT_BYTES} bytes or less")]
+        )
     try:
         return msgspec.json.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise Unusable([Fault("", f"invalid JSON: {fault}", "correct the text at that byte")]) from None
+        raise InvalidDocumentError(
+            [Fault("", f"invalid JSON: {fault}", "correct the text at that byte")]
+        ) from None
 
 
-def parsing(data: bytes | msgspec.Raw) -> Generator[None, None, Any]:
+def parse_in_slices(data: bytes | msgspec.Raw) -> Generator[None, None, Any]:
     """Decode JSON in slices: the long lists are first split into undecoded items, then decoded one by one."""
-    if len(bytes(data)) > LARGEST:
+    if len(bytes(data)) > MAX_DOCUMENT_BYTES:
         parse(bytes(data))
     try:
         raw_fields = msgspec.json.decode(data, type=dict[str, msgspec.Raw])
@@ -87,7 +91,7 @@
         return parse(bytes(data))  # its error has the position in the whole text
 
 
-def spend(fields: dict[str, Any]) -> Iterator[None]:
+def free_in_slices(fields: dict[str, Any]) -> Iterator[None]:
     """Free a parsed document in slices: at once, a long one blocks for ten milliseconds."""
     for name in ITEMS:
         while items := fields.get(name):
@@ -95,16 +99,17 @@
             yield
 
 
-def reading(raw: Any, locate: Locator | None = None) -> Generator[None, None, Document]:
-    """Convert decoded JSON to a document in slices. Raise Unusable with all faults of types and units."""
+def read_in_slices(raw: Any, locate: Locator | None = None) -> Generator[None, None, Document]:
+    """Convert decoded JSON to a document in slices. Raise InvalidDocumentError with all faults of types and
+    units."""
     faults: list[Fault] = []
     for step, fault in enumerate(_faults(raw, inspect.type_info(Document), "")):
-        if fault is not None and len(faults) < MOST_FAULTS:
+        if fault is not None and len(faults) < MAX_FAULTS:
             faults.append(fault)
         if step % SLICE_ITEMS == 0:
             yield
     if faults:
-        raise Unusable(with_places(faults, locate))
+        raise InvalidDocumentError(with_places(faults, locate))
     long_lists = {}
     for name in ("routes", "limits"):
         converted = long_lists[name] = []
@@ -119,10 +124,10 @@
 
 def read(raw: Any, locate: Locator | None = None) -> Document:
     """Convert decoded JSON to a document at once."""
-    return through(reading(raw, locate))
+    return run_to_completion(read_in_slices(raw, locate))
 
 
-def through(job: Generator[None, None, Any]) -> Any:
+def run_to_completion(job: Generator[None, None, Any]) -> Any:
     """Run a generator to its end and return its result."""
     while True:
         try:
@@ -136,7 +141,7 @@
     return [fault._replace(place=locate(fault.path)) for fault in faults] if locate else faults
 
 
-def encoding(document: Document) -> Generator[None, None, bytes]:
+def encode_in_slices(document: Document) -> Generator[None, None, bytes]:
     """Encode a document in its canonical form, in slices: base units and fixed field order, so that equal
     documents give equal bytes."""
     encoded = bytearray()
@@ -156,7 +161,7 @@
 
 def canonical(document: Document) -> bytes:
     """Encode a document in its canonical form at once."""
-    return through(encoding(document))
+    return run_to_completion(encode_in_slices(document))
 
 
 def _encode_number(value: Any) -> Any:
@@ -164,7 +169,7 @@
 
 
 def _decode_unit(unit: type, value: Any) -> Any:
-    return units.READERS[unit](value)
+    return units.PARSERS[unit](value)
 
 
 def _faults(value: Any, kind: inspect.Type, path: str) -> Iterator[Fault | None]:
@@ -182,7 +187,7 @@
             yield from _faults(item, kind.item_type, join(path, index))
     elif isinstance(kind, inspect.CustomType):
         try:
-            units.READERS[kind.cls](value)
+            units.PARSERS[kind.cls](value)
         except ValueError as fault:
             yield Fault(path, f"{value!r} is invalid", str(fault))
     else:
@@ -207,7 +212,7 @@
         if name in fields:
             yield from _faults(item, fields[name].type, join(path, name))
         else:
-            yield Fault(join(path, name), "unknown field", nearest(name, fields))
+            yield Fault(join(path, name), "unknown field", suggest_name(name, fields))
     for name, field in fields.items():
         if field.required and name not in value:
             yield Fault(join(path, name), "missing", f"add {name}")
@@ -221,7 +226,9 @@
     }.get(type(kind))
     if isinstance(kind, inspect.LiteralType):
         if value not in kind.values or type(value) is not type(kind.values[0]):
-            yield Fault(path, f"{value!r} is none of the values allowed", nearest(str(value), kind.values))
+            yield Fault(
+                path, f"{value!r} is none of the values allowed", suggest_name(str(value), kind.values)
+            )
     elif isinstance(kind, inspect.TupleType):
         if type(value) is not list or [type(end) for end in value] != [int, int]:
             yield Fault(path, f"{value!r} is not a range", "write [first, last] with two whole numbers")
--- a/pathturn/config/units.py
+++ b/pathturn/config/units.py
@@ -65,4 +65,4 @@
     return Rate(number)
 
 
-READERS = {Micros: micros, Bytes: size, Share: share, Rate: rate}
+PARSERS = {Micros: micros, Bytes: size, Share: share, Rate: rate}
--- a/pathturn/control/protocol.py
+++ b/pathturn/control/protocol.py
@@ -10,7 +10,7 @@
 from pathturn.change.ledger import LedgerUnusableError, LedgerWriteError
 from pathturn.change.manager import ChangeRequest, change_as_dict
 from pathturn.change.states import Change, ChangeRefusedError
-from pathturn.config.read import Unusable
+from pathturn.config.read import InvalidDocumentError
 
 # Error codes of JSON-RPC.
 PARSE_ERROR = -32700
@@ -43,7 +43,7 @@
     def history(self, most: int) -> list[Change]: ...
 
 
-class Calls:
+class RequestHandler:
     """Calls the method that a request names."""
 
     def __init__(self, operations: Operations) -> None:
@@ -57,7 +57,7 @@
             "change.history": self._history,
         }
 
-    def answer(self, line: bytes) -> bytes:
+    def handle_line(self, line: bytes) -> bytes:
         """Return the response line to a request line, whatever that contains."""
         try:
             request = msgspec.json.decode(line, type=Message)
@@ -82,7 +82,7 @@
             return response_line(request_id, result=method(**params))
         except ChangeRefusedError as error:
             return error_line(request_id, CHANGE_REFUSED, str(error), code_name=error.code)
-        except Unusable as error:
+        except InvalidDocumentError as error:
             return error_line(
                 request_id,
                 INVALID_DOCUMENT,
--- a/pathturn/control/server.py
+++ b/pathturn/control/server.py
@@ -11,12 +11,12 @@
 from gevent.pool import Pool
 from gevent.server import StreamServer
 
-from pathturn.config.read import LARGEST
-from pathturn.control.protocol import PARSE_ERROR, Calls, error_line
+from pathturn.config.read import MAX_DOCUMENT_BYTES
+from pathturn.control.protocol import PARSE_ERROR, RequestHandler, error_line
 from pathturn.wire.jsonrpc import LineSplitter, StreamError
 
 MAX_CONNECTIONS = 8
-MAX_LINE_BYTES = LARGEST + 4096  # a document and the rest of its request
+MAX_LINE_BYTES = MAX_DOCUMENT_BYTES + 4096  # a document and the rest of its request
 # The command-line tools send a line at once, and `change watch` polls twice a second.
 LINE_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 300.0
@@ -24,18 +24,18 @@
 RECEIVE_BYTES = 65_536
 
 
-class InUse(Exception):
+class SocketPathInUseError(Exception):
     """The socket's path is in use by another process or a file of another kind."""
 
 
-class Control:
+class ControlServer:
     """Serves the control socket; each connection has a greenlet of its own."""
 
-    def __init__(self, path: Path, calls: Calls, log: Callable[[str], None]) -> None:
+    def __init__(self, path: Path, calls: RequestHandler, log: Callable[[str], None]) -> None:
         self.path = path
         self.calls = calls
         self.log = log
-        self.server = StreamServer(listener(path), self._serve_connection, spawn=Pool(MAX_CONNECTIONS))
+        self.server = StreamServer(open_listener(path), self._serve_connection, spawn=Pool(MAX_CONNECTIONS))
 
     def start(self) -> None:
         self.server.start()
@@ -51,7 +51,8 @@
         try:
             while received := self._receive(connection, bool(lines.partial)):
                 for line in lines.feed(memoryview(received)):
-                    response = self.calls.answer(line)  # may take long: a large document is checked in slices
+                    # May take long: a large document is checked in slices.
+                    response = self.calls.handle_line(line)
                     with gevent.Timeout(WRITE_TIMEOUT_S, TimeoutError):
                         connection.sendall(response)
                     answered += 1
@@ -79,19 +80,19 @@
             return
 
 
-def listener(path: Path) -> socket.socket:
+def open_listener(path: Path) -> socket.socket:
     """Return a listening socket whose file has mode 0600 from the start. Replace the socket file of a gateway
-    that was killed; raise InUse if another process accepts connections on it."""
+    that was killed; raise SocketPathInUseError if another process accepts connections on it."""
     if path.exists():
         if not stat.S_ISSOCK(path.stat().st_mode):
-            raise InUse(f"{path}: the file is not a socket; use another path")
+            raise SocketPathInUseError(f"{path}: the file is not a socket; use another path")
         with socket.socket(socket.AF_UNIX) as probe:
             try:
                 probe.connect(str(path))
             except OSError:
                 path.unlink(missing_ok=True)
             else:
-                raise InUse(f"{path}: another process accepts connections on this socket")
+                raise SocketPathInUseError(f"{path}: another process accepts connections on this socket")
     listening = socket.socket(socket.AF_UNIX)
     previous_umask = os.umask(0o177)
     try:
--- a/pathturn/process/operator.py
+++ b/pathturn/process/operator.py
@@ -11,8 +11,8 @@
 from pathturn.change.ledger import Ledger
 from pathturn.change.manager import ChangeManager
 from pathturn.config.installation import Installation
-from pathturn.control.protocol import Calls
-from pathturn.control.server import Control
+from pathturn.control.protocol import RequestHandler
+from pathturn.control.server import ControlServer
 from pathturn.memory.facade import Facade
 from pathturn.process.settings import retry_share
 from pathturn.routing.checks import ValidationContext
@@ -43,7 +43,7 @@
         )
         self.change_manager.start(Path(installation.document))
         self.control = (
-            Control(Path(installation.control), Calls(self.change_manager), log)
+            ControlServer(Path(installation.control), RequestHandler(self.change_manager), log)
             if installation.control
             else None
         )
--- a/pathturn/process/start.py
+++ b/pathturn/process/start.py
@@ -49,6 +49,6 @@
 def _installation(operator: Path | None) -> Any:
     if operator is None:
         return None
-    from pathturn.config.installation import installation
+    from pathturn.config.installation import read_installation
 
-    return installation(operator)
+    return read_installation(operator)
--- a/pathturn/routing/checks.py
+++ b/pathturn/routing/checks.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from pathturn.config.document import VERSION, Document, Limit, Pool, Route, Split
-from pathturn.config.read import MOST_FAULTS, Fault, join, nearest, through
+from pathturn.config.read import MAX_FAULTS, Fault, join, run_to_completion, suggest_name
 from pathturn.core.interface import GONE, REFERENCED, EngineEntry, ServiceGroup
 from pathturn.routing.index import RouteIndex
 from pathturn.routing.pools import EnginePool
@@ -57,7 +57,7 @@
 
 def validate(document: Document, context: ValidationContext) -> list[Fault]:
     """Run `validate_in_slices` to its end without interruption."""
-    return through(validate_in_slices(document, context))
+    return run_to_completion(validate_in_slices(document, context))
 
 
 def _collect(stream: FaultStream, faults: list[Fault]) -> Iterator[None]:
@@ -65,7 +65,7 @@
     for fault in stream:
         if fault is None:
             yield
-        elif len(faults) < MOST_FAULTS:
+        elif len(faults) < MAX_FAULTS:
             faults.append(fault)
 
 
@@ -92,7 +92,9 @@
 def _check_fallback(document: Document, name: str, pool: Pool, path: str) -> FaultStream:
     target = pool.fallback.pool
     if target not in document.pools:
-        yield Fault(f"{path}.fallback.pool", f"no pool named {target!r}", nearest(target, document.pools))
+        yield Fault(
+            f"{path}.fallback.pool", f"no pool named {target!r}", suggest_name(target, document.pools)
+        )
     elif target == name:
         yield Fault(f"{path}.fallback.pool", "a pool cannot be its own fallback", "name another pool")
     if pool.fallback.ready_under < 1:
@@ -140,7 +142,9 @@
     for position, group in enumerate(route.match.groups or ()):
         if group not in context.groups:
             yield Fault(
-                f"{path}.groups[{position}]", f"no service group {group!r}", nearest(group, context.groups)
+                f"{path}.groups[{position}]",
+                f"no service group {group!r}",
+                suggest_name(group, context.groups),
             )
     for position, (first, last) in enumerate(route.match.data_sets or ()):
         if first > last or first < 0:
@@ -157,7 +161,7 @@
             yield Fault(
                 path if isinstance(to, str) else join(path, pool),
                 f"no pool named {pool!r}",
-                nearest(pool, document.pools),
+                suggest_name(pool, document.pools),
             )
     if not isinstance(to, str) and not isclose(sum(to.values()), 1.0, abs_tol=1e-6):
         yield Fault(path, f"the weights add up to {sum(to.values()):.6g}", "make them add up to 1")
@@ -180,7 +184,7 @@
             yield Fault(path, "a limit applies to one route or one pool", "set exactly one of route and pool")
         for field, known in (("route", routes), ("pool", document.pools)):
             if (name := getattr(limit, field)) is not None and name not in known:
-                yield Fault(f"{path}.{field}", f"no {field} named {name!r}", nearest(name, known))
+                yield Fault(f"{path}.{field}", f"no {field} named {name!r}", suggest_name(name, known))
         yield from _check_limit_values(limit, context, path)
 
 
--- a/pathturn/standins/fleet.py
+++ b/pathturn/standins/fleet.py
@@ -8,7 +8,7 @@
 from gevent import socket
 from gevent.server import DatagramServer, StreamServer
 
-from pathturn.config.installation import Installation, installation
+from pathturn.config.installation import Installation, read_installation
 from pathturn.standins.engines import StandInEngine
 from pathturn.standins.network_proxy import NetworkProxy
 from pathturn.wire import discovery_protocol
@@ -84,7 +84,7 @@
         "log": log,
     }
     (folder / "operator.json").write_bytes(orjson.dumps(operator_file))
-    return installation(folder / "operator.json")
+    return read_installation(folder / "operator.json")
 
 
 class Fleet:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -147,7 +147,7 @@
         pool = EnginePool(name, Pool())
         pool.eligible = frozenset(map(int, engines))
         told = {
-            key: units.READERS[Rate](value)
+            key: units.PARSERS[Rate](value)
             if key == "rate"
             else float(value)
             if key == "further"
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -19,7 +19,7 @@
 from pathturn.change.manager import ChangeRequest
 from pathturn.change.states import ChangeRefusedError, Observation
 from pathturn.cli import app
-from pathturn.config.read import Unusable
+from pathturn.config.read import InvalidDocumentError
 from pathturn.control import server
 from pathturn.process.gateway import GatewayProcess
 from pathturn.standins.clients import LoadGenerator, count_execution_faults
@@ -197,7 +197,7 @@
         site.change_manager.stage(change_request("late", base=7))
     with pytest.raises(ChangeRefusedError, match="no change"):
         site.change_manager.apply("nothing")
-    with pytest.raises(Unusable):
+    with pytest.raises(InvalidDocumentError):
         site.change_manager.stage(change_request("broken", to="nowhere"))
     assert site.change_manager.change is None
 
@@ -326,14 +326,14 @@
 
 
 def test_a_live_control_socket_is_not_replaced_and_a_stale_one_is(site, tmp_path) -> None:
-    with pytest.raises(server.InUse, match="another process"):
-        server.listener(tmp_path / "control")
+    with pytest.raises(server.SocketPathInUseError, match="another process"):
+        server.open_listener(tmp_path / "control")
     (tmp_path / "file").write_text("x")
-    with pytest.raises(server.InUse, match="not a socket"):
-        server.listener(tmp_path / "file")
-    server.listener(tmp_path / "stale").close()
+    with pytest.raises(server.SocketPathInUseError, match="not a socket"):
+        server.open_listener(tmp_path / "file")
+    server.open_listener(tmp_path / "stale").close()
     assert (tmp_path / "stale").exists()
-    server.listener(tmp_path / "stale").close()
+    server.open_listener(tmp_path / "stale").close()
 
 
 # Gateways in processes of their own.
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -10,7 +10,15 @@
 from pathturn.background.job_selection import CpuBudget, QueuedJob, select_job
 from pathturn.background.scheduler import JobCancelled, Scheduler
 from pathturn.config.document import Document, Pool, Route
-from pathturn.config.read import Unusable, canonical, parse, parsing, read, reading, through
+from pathturn.config.read import (
+    InvalidDocumentError,
+    canonical,
+    parse,
+    parse_in_slices,
+    read,
+    read_in_slices,
+    run_to_completion,
+)
 from pathturn.core.interface import DRAINING, REFERENCED, REPEATABLE, EngineEntry, ServiceGroup
 from pathturn.routing.checks import ValidationContext, validate
 from pathturn.routing.index import MatchBox, RouteIndex
@@ -69,7 +77,7 @@
 def test_route_index_finds_the_same_route_as_a_linear_scan(rows, group, customer, key, data_set) -> None:
     boxes = [MatchBox(position, *row) for position, row in enumerate(rows)]
     index = RouteIndex(GROUPS)
-    through(index.build(boxes))
+    run_to_completion(index.build(boxes))
     expected = next((box.position for box in boxes if matches(box, group, customer, key, data_set)), None)
     assert index.first_match(group, customer, key, data_set) == expected
 
@@ -79,7 +87,7 @@
 def test_a_route_reported_as_shadowed_never_matches(rows) -> None:
     boxes = [MatchBox(position, *row) for position, row in enumerate(rows)]
     index = RouteIndex(GROUPS)
-    through(index.build(boxes))
+    run_to_completion(index.build(boxes))
     for box in boxes:
         shadowing = index.shadowed_by(box)
         matched = any(
@@ -102,7 +110,9 @@
     assert document.change.watch == 60_000_000 and document.change.canary[0].hold == 1_500_000
     assert document.limits[0].rate == 1.5 and document.routes[0].to == {"all": 0.25, "a": 0.75}
     assert read(parse(canonical(document))) == document
-    assert through(reading(through(parsing(orjson.dumps(raw))))) == document
+    assert (
+        run_to_completion(read_in_slices(run_to_completion(parse_in_slices(orjson.dumps(raw))))) == document
+    )
 
 
 # A change that makes a valid document invalid, the path of the one fault, and words of its text.
@@ -189,14 +199,14 @@
 def test_each_fault_is_reported_once_with_path_description_and_fix(change, path, word) -> None:
     try:
         faults = validate(read(BASE | change), CONTEXT)
-    except Unusable as fault:
+    except InvalidDocumentError as fault:
         faults = fault.faults
     assert [fault.path for fault in faults] == [path], faults
     assert word in faults[0].what + faults[0].fix and faults[0].fix
 
 
 def test_all_faults_are_reported_at_once() -> None:
-    with pytest.raises(Unusable) as found:
+    with pytest.raises(InvalidDocumentError) as found:
         read(BASE | {"pool": 1, "default": 3, "routes": [{"nme": "x"}, 7], "change": {"watch": "x"}})
     assert {fault.path for fault in found.value.faults} == {
         "pool",
@@ -222,13 +232,13 @@
 def test_any_json_value_is_a_document_or_is_rejected_with_faults(raw) -> None:
     try:
         assert isinstance(read(raw), Document)
-    except Unusable as fault:
+    except InvalidDocumentError as fault:
         assert fault.faults and all(each.fix for each in fault.faults)
 
 
 def compiled(router, generation, **fields):
     table = RoutingTable(generation, read(BASE | fields), GROUPS)
-    through(router.compile(table))
+    run_to_completion(router.compile(table))
     return table
 
 
