--- a/pathturn/change/ledger.py
+++ b/pathturn/change/ledger.py
@@ -232,7 +232,7 @@
         rolled_back = None
         # Several are open if a rollback could not be written and another change was staged after it.
         while (change := self.open_change()) is not None:
-            rolled_back = roll_back(change, now_us, f"the gateway ended while the change was {change.state}")
+            rolled_back = roll_back(change, now_us, f"the gateway ended while it was {change.state}")
             self.record_step(rolled_back)
         return rolled_back
 
--- a/pathturn/change/manager.py
+++ b/pathturn/change/manager.py
@@ -131,7 +131,7 @@
             try:
                 self.evaluate_trial()
             except Exception as fault:  # noqa: BLE001 - without this loop a trial would run unsupervised
-                self._roll_back_unevaluated(f"evaluation failed: {type(fault).__name__}: {fault}")
+                self._roll_back_unevaluated(f"the watch failed: {type(fault).__name__}: {fault}")
 
     def stop(self) -> None:
         """Roll back an open change, as the next start would, and accept no further one."""
@@ -139,7 +139,7 @@
         self.scheduler.cancel_all("the gateway is stopping")  # jobs on a large document would delay the stop
         with self.lock:
             if self.change is not None:
-                self._roll_back("the gateway is stopping")
+                self._roll_back("the gateway was told to stop")
 
     # Requests.
     def check(self, raw: Any) -> Document:
@@ -232,7 +232,7 @@
         """
         with self.lock:
             if self.change is not None and self.change.id == identity:
-                return self._roll_back(f"rolled back by {who[:MAX_TEXT_LENGTH]}: {why[:MAX_TEXT_LENGTH]}")
+                return self._roll_back(f"undone by {who[:MAX_TEXT_LENGTH]}: {why[:MAX_TEXT_LENGTH]}")
             known = self._find_change(identity)
             if known.state == "kept":
                 raise ChangeRefusedError(
@@ -310,7 +310,7 @@
             try:
                 self._write(self.ledger.record_step, evaluated)
             except LedgerWriteError as fault:
-                self._roll_back(f"cannot write the ledger: {fault}")
+                self._roll_back(f"the ledger cannot be written: {fault}")
                 return
             self._enter_state(evaluated)
 
@@ -319,7 +319,8 @@
         worst = max((each for each in findings if each.is_harm), key=Finding.severity, default=None)
         unjudged = self.analysis.unjudged_groups()
         if not self.analysis.affected_groups() and affects_batches(self.change.what):
-            unjudged = ["any affected traffic"]  # the absence of traffic doesn't prove the absence of harm
+            # The absence of traffic doesn't prove the absence of harm.
+            unjudged = ["anything that it touches"]
         return Observation(None if worst is None else str(worst), tuple(unjudged), tuple(map(str, findings)))
 
     # Putting steps into effect; nothing else switches routing tables.
--- a/pathturn/change/states.py
+++ b/pathturn/change/states.py
@@ -156,7 +156,7 @@
     if change.state == "canary":
         return advance(change, now_us)
     if not observation.unjudged:
-        return keep(change, now_us, "no harm found", observation.figures)
+        return keep(change, now_us, "no harm seen", observation.figures)
     reason = "too little traffic to judge " + ", ".join(observation.unjudged)
     if change.policy.unclear == "keep":
         return keep(change, now_us, reason + "; policy: keep", observation.figures)
